--- a/src/core/admission/admission_queue.hpp
+++ b/src/core/admission/admission_queue.hpp
@@ -11,30 +11,33 @@
 /// Number of priority classes.
 inline constexpr std::size_t class_count = 3;
 
-/** Requests that wait for one target: strict class order with ageing.
+/** Queue of the requests that wait for one target, in strict priority order
+   with ageing.
 
-    The best class that waits goes first, by `fair_share`. A request that has
-    waited for `ageing` competes one class higher, after twice that two higher,
-    and so on. One grant in `aged_share` goes to the oldest request whose aged
-    class is at least as good as the best that waits: nothing starves, and a
-    backlog of old batch work takes no more than that share from urgent work.
+    The highest waiting class goes first; `fair_share` orders the requests
+   inside a class. A request that has waited for `ageing` competes one class
+   higher, after twice that time two classes higher, and so on. One grant in
+    `aged_share` goes to the oldest request whose aged class is at least as high
+    as the highest waiting class. So no request starves, and a backlog of old
+    batch requests takes at most that share from urgent ones.
 
-    Hint.
+    Advisory: an error here cannot break a guarantee.
 */
 class admission_queue
 {
 public:
-    /// One grant in this many may go to aged work ahead of better classes.
+    /// One grant in this many may go to an aged request ahead of higher
+    /// classes.
     static constexpr std::uint32_t aged_share = 4;
 
-    /// What may be chosen just now.
+    /// Which requests may be chosen.
     struct filter
     {
         bool allow_batch = true;
         bool allow_long = true;
     };
 
-    /// A choice; `take` it, or leave it.
+    /// A chosen request. It stays queued unless passed to `take`.
     struct choice
     {
         queue_item item;
@@ -45,34 +48,38 @@
 
     void push(const queue_item& item);
 
-    /// @return Whether it waited here.
+    /// @return Whether the request was queued here.
     bool erase(ticket id);
 
-    /// @return Who goes next under the filter, empty when nobody may.
+    /// @return The next request that the filter allows; empty if there is none.
     std::optional<choice> next(const filter& allowed, instant now) const;
 
-    /// Removes a choice and charges its caller.
+    /// Removes a chosen request and charges its caller.
     void take(const choice& chosen);
 
-    /// @return Estimate of how many go before this request.
+    /// @return Estimated number of requests that go before this one.
     std::size_t ahead_of(const queue_item& item) const;
 
-    /// Called for each request with the estimate of those before it.
-    /// @return Whether the request goes on waiting.
+    /// Called for each request with the estimated number of requests before it.
+    /// @return Whether the request keeps waiting.
     using examiner =
         std::function<bool(const queue_item& item, std::size_t ahead)>;
 
-    /** Examine each request, best class first.
+    /** Visits each request, highest class first.
 
-        @return Those that don't go on waiting; they aren't removed yet.
+        @return The requests for which the callback returned false. They are not
+                removed.
     */
     std::vector<ticket> examine_all(const examiner& examine) const;
 
-    /// @return Whom work of this class may displace: the worst class that
-    ///         waits, when it is worse; its longest line; its last deadline.
+    /// @return The request that a request of the given class may displace. It
+    /// is
+    ///         taken from the lowest waiting class, if that is lower than the
+    ///         given one: of the caller with the most requests, the one with
+    ///         the latest deadline.
     std::optional<queue_item> least_wanted(priority below) const;
 
-    /// @return The best class that waits, empty when nobody does.
+    /// @return The highest waiting class; empty if no request waits.
     std::optional<priority> best_class() const;
 
     std::optional<instant> earliest_deadline() const;
@@ -92,7 +99,9 @@
         return this->classes[index(level)].size();
     }
 
-    /// @return Short prompts that wait, batch work only when it is allowed.
+    /// @return Number of waiting requests with short prompts. Batch requests
+    /// are
+    ///         counted only if `allow_batch` is set.
     std::size_t short_size(bool allow_batch) const;
 
 private:
--- a/src/core/admission/caller_limits.hpp
+++ b/src/core/admission/caller_limits.hpp
@@ -13,11 +13,13 @@
 namespace roseworks::detail
 {
 
-/** Keeps each caller within its spec, and numbers the callers.
+/** Enforces the limits of each caller's spec and assigns numbers to callers.
 
-    Requests per second by a token bucket that holds one second's worth;
-    requests in flight are those admitted here that aren't final yet, waiting
-    ones too. Limits hold for one router. Hint.
+    Requests per second are limited by a token bucket that holds one second's
+    worth. Requests in flight are those admitted here that have no final answer
+    yet, including waiting ones. The limits apply to one router.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class caller_limits
 {
@@ -25,21 +27,18 @@
     struct admission
     {
         caller_number caller = 0;
-        std::optional<duration> refused; ///< when to come back
+        std::optional<duration> refused; ///< retry after this; empty: admitted
     };
 
-    /** Admit a request; when it isn't refused, it counts until `release`.
-
-        @param name The caller's name.
-        @param spec Its limits.
-    */
+    /// Admits or refuses a request. An admitted request counts as in flight
+    /// until `release`.
     admission
     admit(std::string_view name, const caller_spec& spec, instant now);
 
-    /// An admitted request has its final answer.
+    /// Called when an admitted request has its final answer.
     void release(caller_number caller);
 
-    /// Forgets callers that were idle for a minute.
+    /// Removes callers that were idle for a minute.
     void purge(instant now);
 
     std::size_t size() const
--- a/src/core/admission/fair_share.cpp
+++ b/src/core/admission/fair_share.cpp
@@ -9,11 +9,12 @@
 namespace
 {
 
-/// Idle callers are remembered up to this many, then forgotten when their
-/// virtual time has passed.
+/// Up to this many idle callers are kept. Beyond that, idle callers are removed
+/// once the virtual time has reached their start tag.
 constexpr std::size_t remembered_lines = 64;
 
-/// Scale of virtual time, so that weights divide without much loss.
+/// Virtual time units per unit of cost. Keeps the rounding error small when
+/// costs are divided by weights.
 constexpr std::uint64_t pass_scale = 1 << 12;
 
 } // namespace
--- a/src/core/admission/fair_share.hpp
+++ b/src/core/admission/fair_share.hpp
@@ -15,55 +15,63 @@
 namespace roseworks::detail
 {
 
-/** Waiting requests of one priority class, fair between callers.
+/** Waiting requests of one priority class, shared fairly between callers.
 
-    Start-time fair queueing: each caller has a virtual time that advances by
-    cost / weight when it is served, and the lowest goes next; a caller that
-    comes back from idle starts at the class's virtual time, so that idling
-    earns nothing. Among a caller's own requests the earliest deadline goes
-    first. Long prompts are kept apart, so that they can be left out.
+    Uses start-time fair queueing. Each caller has a start tag in virtual time,
+    which advances by cost / weight when the caller is served. The caller with
+    the lowest tag goes next. A caller that was idle restarts at the virtual
+   time of the class, so it gains nothing by idling. Among the requests of one
+    caller, the earliest deadline goes first. Long prompts are stored separately
+    so that they can be skipped.
 
-    Hint. Logarithmic in the requests and callers that wait.
+    Operations are logarithmic in the number of waiting requests and callers,
+    except those that visit all of them.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class fair_share
 {
 public:
     void push(const queue_item& item);
 
-    /// Removes a request that was pushed; its caller isn't charged.
+    /// Removes a queued request without charging its caller.
     void erase(const queue_item& item);
 
     /// @param allow_long Whether a long prompt may be chosen.
-    /// @return           Who goes next, empty when nobody may.
+    /// @return           The next request; empty if none may be chosen.
     std::optional<ticket> next(bool allow_long) const;
 
-    /// Charges a caller for a request served.
+    /// Charges a caller for a request that was served.
     void charge(const queue_item& item);
 
-    /** Estimate how many requests of this class go before one.
+    /** Estimates how many requests of this class go before the given one.
 
-        @param item A request, pushed or not yet.
-        @return     The lower of all that wait and the caller's own position
-                    times the share of the others.
+        @param item A request, which need not be queued.
+        @return     The request's position in its caller's queue, scaled by the
+                    ratio of all active weights to the caller's weight. At most
+                    the number of requests that can go first.
     */
     std::size_t ahead_of(const queue_item& item) const;
 
-    /// Called for each request with the estimate of those before it.
-    /// @return Whether the request goes on waiting.
+    /// Called for each request with the estimated number of requests before it.
+    /// @return Whether the request keeps waiting.
     using examiner = std::function<bool(ticket, std::size_t ahead)>;
 
-    /** Examine each request, by caller and deadline.
+    /** Visits each request, by caller and then by deadline.
 
-        @param examine Whether it goes on waiting; when not, it doesn't count
-                       for those behind it.
-        @return        Those that don't go on; they aren't removed yet.
+        @param examine Callback. A request for which it returns false is not
+                       counted in the estimates of later requests.
+        @return        The requests for which it returned false. They are not
+                       removed.
     */
     std::vector<ticket> examine_all(const examiner& examine) const;
 
-    /// @return The latest deadline of the caller with the most waiting.
+    /// @return The request with the latest deadline, of the caller with the
+    /// most
+    ///         waiting requests.
     std::optional<ticket> least_wanted() const;
 
-    /// @return The earliest deadline, empty when nobody waits.
+    /// @return The earliest deadline; empty if no request waits.
     std::optional<instant> earliest_deadline() const;
 
     std::size_t size() const
--- a/src/core/admission/queue_item.hpp
+++ b/src/core/admission/queue_item.hpp
@@ -7,19 +7,19 @@
 namespace roseworks::detail
 {
 
-/// Interned number of a caller within one dispatcher.
+/// Number that identifies a caller within one dispatcher.
 using caller_number = std::uint32_t;
 
-/// A waiting request as its queue sees it. Hint.
+/// The properties of a waiting request that its queue needs.
 struct queue_item
 {
     ticket id;
     instant deadline;
-    instant enqueued; ///< first arrival; kept by retries
+    instant enqueued; ///< arrival of the request; unchanged by retries
     priority level = priority::normal;
     caller_number caller = 0;
-    std::uint16_t weight = 1; ///< the caller's share
-    std::uint32_t cost = 1;   ///< work it is charged for, in tokens of 1/16
+    std::uint16_t weight = 1; ///< the caller's weight in `fair_share`
+    std::uint32_t cost = 1;   ///< work units that the caller is charged
     bool long_prompt = false;
 };
 
--- a/src/core/admission/wait_estimator.cpp
+++ b/src/core/admission/wait_estimator.cpp
@@ -13,10 +13,11 @@
 constexpr double cold_smoothing = 0.3;
 constexpr std::uint32_t wanted_samples = 4;
 
-/// Mean deviations by which an answer may be slower than the mean.
+/// Number of mean deviations added to the mean time per token.
 constexpr double deviations = 2;
 
-/// Prompts below this teach the constant part, those above the slope.
+/// Shorter prompts update the constant part of the prefill time, others its
+/// slope.
 constexpr std::uint32_t slope_bytes = 1024;
 
 duration rounded(double microseconds)
@@ -28,7 +29,7 @@
 
 void fading_average::add(double sample, instant now)
 {
-    // A plain mean at first, so that the first sample has no lasting weight.
+    // Start as an arithmetic mean, so that the first sample doesn't dominate.
     ++this->samples;
     const double weight = std::max(smoothing, 1.0 / this->samples);
     this->average += weight * (sample - this->average);
--- a/src/core/admission/wait_estimator.hpp
+++ b/src/core/admission/wait_estimator.hpp
@@ -9,11 +9,13 @@
 namespace roseworks::detail
 {
 
-/** A moving average that fades when no sample comes.
+/** A moving average that decays while there are no samples.
 
-    Halves for each `half_life` after the first without a sample, so that an
-    estimate that made everything be refused doesn't stay for want of samples.
-    Hint.
+    After the first `half_life` without a sample it halves once per `half_life`.
+    Otherwise an estimate so high that every request is refused would never
+    change, because refused requests give no samples.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class fading_average
 {
@@ -22,7 +24,7 @@
 
     void add(double sample, instant now);
 
-    /// @return The faded average, 0 when fewer than `wanted` samples came.
+    /// @return The decayed average; 0 with fewer than `wanted` samples.
     double value(std::uint32_t wanted, instant now) const;
 
 private:
@@ -31,17 +33,20 @@
     instant last;
 };
 
-/** Predicts when a request of one target can start.
+/** Predicts when a request of one target can start and how long it takes.
+
+    Errs on the side of accepting requests: without samples, every estimate is
+   0.
 
-    Errs towards "it can be met": without knowledge every estimate is 0.
-    Hint.
+    Advisory: an error here cannot break a guarantee.
 */
 class wait_estimator
 {
 public:
-    /// A request was answered.
-    /// @param bytes  Of its prompt.
-    /// @param tokens Of its answer; 0: not counted.
+    /// Records an answered request.
+    /// @param total  Time from sending the request to the end of its answer.
+    /// @param bytes  Size of the prompt.
+    /// @param tokens Length of the answer; 0: not counted.
     void served(
         duration total,
         duration first_byte,
@@ -49,35 +54,36 @@
         std::uint32_t tokens,
         instant now);
 
-    /// The target became ready this long after it was asked for.
+    /// Records the time from the first demand until the target was ready.
     void cold_start(duration waited);
 
-    /** Time until a slot is free for a request.
+    /** Estimates the time until a slot is free for a request.
 
-        @param ahead Requests that go before it.
-        @param slots Requests that run at once.
+        @param ahead Number of requests that go before it.
+        @param slots Number of requests that run at once.
     */
     duration queue_wait(std::size_t ahead, std::size_t slots, instant) const;
 
-    /// Time from sending a prompt of this size to its first byte.
+    /// Estimates the time from sending a prompt of this size to the first byte.
     duration prefill(std::uint32_t bytes, instant now) const;
 
-    /// Time from the first byte of an answer to its last, with two mean
-    /// deviations added: an answer cut at its deadline is work for nothing.
-    /// @param max_tokens The most that the request asks for.
+    /// Estimates the time from the first byte of an answer to the last.
+    /// Includes a margin of two mean deviations, because an answer that is cut
+    /// at its deadline is wasted work.
+    /// @param max_tokens Upper bound of the answer's length.
     duration rest(std::uint32_t max_tokens, instant now) const;
 
-    /// Time from asking for the target to its being ready.
-    /// @param declared The spec's estimate; used until one was observed.
+    /// Estimates the time from the demand for the target until it is ready.
+    /// @param declared The spec's estimate; used until a cold start was seen.
     duration cold(duration declared) const;
 
 private:
-    fading_average service;   ///< microseconds a request holds a slot
-    fading_average base;      ///< microseconds to the first byte, short ones
-    fading_average per_byte;  ///< further microseconds per byte of prompt
-    fading_average per_token; ///< microseconds after the first byte
-    fading_average deviation; ///< from `per_token`, microseconds
-    fading_average length;    ///< tokens of an answer
+    fading_average service;   ///< time that a request occupies a slot, in us
+    fading_average base;      ///< time to first byte of short prompts, in us
+    fading_average per_byte;  ///< additional time per prompt byte, in us
+    fading_average per_token; ///< time per token after the first byte, in us
+    fading_average deviation; ///< mean deviation of `per_token`, in us
+    fading_average length;    ///< answer length, in tokens
     std::optional<double> cold_wait;
 };
 
--- a/src/core/request/circuit_breaker.cpp
+++ b/src/core/request/circuit_breaker.cpp
@@ -13,9 +13,9 @@
 constexpr duration first_pause = 100ms;
 constexpr duration longest_pause = 1s;
 
-/// Above the time in which a lost replica leaves the routing table, which is
-/// two readings of the VM list and a record; a server that is away for longer
-/// is no reason to let callers wait.
+/// Longer than it takes for a lost replica to leave the routing table, which is
+/// two reads of the VM list and one log record. If a server is unreachable for
+/// longer than this, callers no longer wait for it.
 constexpr duration recovery_window = 15s;
 
 } // namespace
--- a/src/core/request/circuit_breaker.hpp
+++ b/src/core/request/circuit_breaker.hpp
@@ -7,21 +7,25 @@
 namespace roseworks::detail
 {
 
-/** Holds back the requests of a target none of whose servers can be reached,
-    so that they wait for its recovery instead of failing one after another.
+/** Holds back the requests of a target while none of its servers can be
+    reached, so that they wait for its recovery instead of failing one after
+    another.
 
-    Closed until `failed`. While open it lets one request through after each
-    pause, which doubles with each that fails. One that hasn't failed when the
-    next is let through closes it. Hint.
+    The breaker opens on a failure. While open, it lets one request through as a
+    probe after each interval. The interval doubles with each probe that fails.
+    A probe that has not failed when the next request is let through closes the
+    breaker.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class circuit_breaker
 {
 public:
-    /** A request could not be sent to any server.
+    /** Records that a request could not be sent to any server.
 
-        @param now When.
-        @return    Whether requests may go on waiting: the first failure since
-                   the breaker was closed is less than `recovery_window` ago.
+        @return Whether requests may keep waiting, which is the case if the
+                first failure since the breaker was closed is less than
+                `recovery_window` ago.
     */
     bool failed(instant now);
 
@@ -33,20 +37,20 @@
     /// @return Whether a request may be granted.
     bool allows(instant now) const;
 
-    /// A request was granted.
+    /// Records that a request was granted.
     void granted(instant now);
 
-    /// A server answered, or a new one is there.
+    /// Closes the breaker. Called when a server answers or a new one is listed.
     void close();
 
-    /// @return When a request may be granted again; empty while closed.
+    /// @return When the next request may be granted; empty while closed.
     std::optional<instant> opens_at() const;
 
 private:
-    std::optional<instant> since; ///< first failure; empty: closed
+    std::optional<instant> since; ///< time of the first failure; empty: closed
     instant retry_at;
     duration pause{};
-    bool probing = false; ///< one was let through and hasn't failed so far
+    bool probing = false; ///< a probe was let through and hasn't failed yet
 };
 
 } // namespace roseworks::detail
--- a/src/core/request/crash_count.hpp
+++ b/src/core/request/crash_count.hpp
@@ -11,27 +11,30 @@
 namespace roseworks::detail
 {
 
-/** The connections that broke under one request, by backend server.
+/** Counts the connections that broke while they carried one request, by backend
+    server.
 
-    Each counts as a crash until its server is found to have survived. Hint.
+    Each counts as a crash until its server is found to have survived.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class crash_count
 {
 public:
-    /// A connection broke.
-    /// @return Whether the server has to be examined; false while an earlier
-    ///         break there counts.
+    /// Counts a broken connection.
+    /// @return Whether the server must be examined. False if an earlier break
+    ///         of the same server is already counted.
     bool broke(engine_id engine, std::string_view address);
 
-    /// A server was examined.
-    /// @return Whether breaks there were counted.
+    /// Records the result of examining a server.
+    /// @return Whether broken connections to that server were counted.
     bool
     examined(engine_id engine, std::string_view address, crash_finding finding);
 
-    /// @return Breaks that count.
+    /// @return Number of broken connections that count as crashes.
     std::uint32_t total() const;
 
-    /// @return Whether all that count were examined.
+    /// @return Whether all servers with counted breaks were examined.
     bool settled() const;
 
 private:
--- a/src/core/request/crash_ledger.hpp
+++ b/src/core/request/crash_ledger.hpp
@@ -15,42 +15,47 @@
 namespace roseworks
 {
 
-/** Finds the requests that crash the backend servers which run them.
+/** Detects requests that crash the backend servers that run them.
 
-    Load pattern: one request, sent again and again at any router, takes down a
-    server at each try. A connection that breaks under a request is no proof:
-    networks and overload break connections, too. It counts against the request
-    once its server is seen to have gone or to have started anew soon after.
-    Requests with crashes of several servers are blocked for a time. All routers
-    tell each other of broken connections, so that the tries at one count at
-    all. Hint.
+    Load pattern: one request is sent again and again, to any router, and each
+    attempt crashes a server. A broken connection alone is no proof, because
+    networks and overload break connections as well. It counts against the
+    request once its server is seen to be gone or restarted soon after. A
+    request that crashed several servers is blocked for a time. The routers tell
+    each other about broken connections, so that an attempt at one router counts
+    at all of them.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class crash_ledger
 {
 public:
     struct options
     {
-        /// Servers that a request crashed before it is blocked. One could be
-        /// chance: at a crash some dozen requests run there.
+        /// A request that crashed this many servers is blocked. One crash
+        /// proves little, because a few dozen requests run on a server when it
+        /// crashes.
         std::size_t most_crashes = 2;
-        /// From the break until the registry shows that the server is gone:
-        /// three of its heartbeats, and its start.
+        /// A server that is lost within this time after a broken connection
+        /// counts as crashed. Covers three heartbeats of the registry and the
+        /// start of the server.
         duration confirmation = std::chrono::seconds(8);
+        /// How long a request's crashes are remembered after the last one.
         duration remembered = std::chrono::seconds(60);
         std::size_t most_requests = 4096;
     };
 
     explicit crash_ledger(options settings);
 
-    /// A connection broke under a request on a server.
+    /// Records that a connection to a server broke while it carried a request.
     void broke(fingerprint request, std::string_view server, instant now);
 
-    /// A server is gone, or another run of it answers.
-    /// @return Whether a request is blocked now that wasn't.
+    /// Records that a server is gone or was restarted.
+    /// @return Whether a request became blocked.
     bool server_lost(std::string_view server, instant now);
 
-    /// Forgets what is old.
-    /// @return Whether a request isn't blocked any more.
+    /// Removes expired records.
+    /// @return Whether a request is no longer blocked.
     bool tick(instant now);
 
     const std::unordered_set<fingerprint>& blocked() const
--- a/src/core/request/dispatcher_finish.cpp
+++ b/src/core/request/dispatcher_finish.cpp
@@ -12,7 +12,8 @@
 
 using end_kind = attempt_result::end;
 
-/// A request under which so many backend servers broke isn't sent again.
+/// A request with this many crashes, as counted by `crash_count`, is not sent
+/// again.
 constexpr std::uint32_t crash_limit = 2;
 
 constexpr duration block_retry = std::chrono::seconds(60);
@@ -22,8 +23,8 @@
     return how == end_kind::refused_not_run || how == end_kind::not_sent;
 }
 
-/// @return Whether an answer that was coming reached the request's own
-///         deadline: that says nothing against its backend server.
+/// @return Whether an answer that had started was cut by the request's own
+///         deadline. This is not a failure of the backend server.
 bool ran_out_of_time(
     const detail::queue_item& item, const attempt_result& result, instant now)
 {
@@ -49,7 +50,8 @@
     const auto found = this->requests.find(id);
     if (found == this->requests.end() || found->second.at != stage::granted)
     {
-        // Nothing runs for it here: nothing may be promised either.
+        // No attempt of this request is known here, so `not_run` can't be
+        // guaranteed.
         assert(found == this->requests.end());
         return {true, verdict::may_have_run, refusal_reason::none};
     }
@@ -87,7 +89,8 @@
     }
     else
     {
-        // A run that was told to stop says nothing against its server.
+        // A run that was cancelled, or cut by its own deadline, is not a
+        // failure of its server.
         const bool stopped = result.how == end_kind::stopped ||
                              ran_out_of_time(request.item, result, now);
         if (used != nullptr && !stopped)
@@ -106,10 +109,12 @@
 void dispatcher::impl::note_crash(
     pending& request, engine_id engine, bool resumable)
 {
-    // A stream that got this far is the least likely cause, and all streams of
-    // a dead server would wait for each other if each had to run alone.
+    // A request whose stream can be resumed is the least likely cause of the
+    // crash. Also, if all streams of a dead server had to run alone, they would
+    // wait for each other.
     request.suspect = request.suspect || !resumable;
-    // A kept connection to a server that died breaks, too: one crash, not two.
+    // A reused connection to a server that died breaks as well. Both breaks
+    // are one crash.
     if (request.crashes.broke(engine, request.address))
     {
         this->commands.emplace_back(crash_seen{
@@ -132,7 +137,7 @@
     request.resumed = request.resumed || result.resumable;
     if (result.resumable && result.tokens > 0)
     {
-        // The caller got further: what was tried before says little now.
+        // The caller received new tokens, so earlier attempts no longer count.
         request.fruitless = 1;
         request.tried.clear();
     }
@@ -236,7 +241,7 @@
     const refusal_reason reason = request.failure;
     if (where.breaker.failed(now))
     {
-        // No attempt reached a server: as many as at first may follow.
+        // This attempt reached no server, so the attempt limit starts again.
         request.fruitless = 0;
         request.tried.clear();
         this->enqueue(request);
@@ -267,7 +272,7 @@
         return this->spread(
             where.estimator.queue_wait(where.waiting(), slots, now));
     }
-    // The lone replica has to be loaded again, here or elsewhere.
+    // The only replica must be loaded again, on this engine or another.
     const bool loadable = !where.is_service && where.max_replicas != 0;
     return loadable ? this->spread(this->remaining_cold(where, now))
                     : duration::zero();
--- a/src/core/request/dispatcher_impl.hpp
+++ b/src/core/request/dispatcher_impl.hpp
@@ -14,21 +14,24 @@
 namespace roseworks
 {
 
-/** The dispatcher's state; its rules are split by event over the sources of
-    this folder. Hint, apart from the promise that `dispatcher` states. */
+/** State and logic of the dispatcher.
+
+    The member functions are split over the dispatcher_*.cpp files by event.
+    Apart from the guarantee that `dispatcher` documents, all state is advisory:
+    stale or wrong values cannot break a guarantee. */
 class dispatcher::impl
 {
 public:
     explicit impl(options settings);
 
-    // Arrival and end of requests.
+    // Request lifecycle.
     ticket submit(request_info info, instant now);
     finish finished(ticket id, const attempt_result& result, instant now);
     void abandon(ticket id, instant now);
     void
     crash_examined(const crash_seen& what, crash_finding finding, instant now);
 
-    // What changes around them.
+    // Changes to the environment.
     void table_changed(routing_table_ptr next, instant now);
     void load_reported(const load_report& report, instant now);
     void cache_reported(const cache_report& report, instant now);
@@ -57,9 +60,9 @@
 private:
     enum class stage : std::uint8_t
     {
-        queued,  ///< in its target's queue
-        suspect, ///< among its target's suspects
-        granted
+        queued,  ///< in `target::queue`
+        suspect, ///< in `target::suspects`
+        granted  ///< an attempt is running
     };
 
     struct pending
@@ -68,21 +71,26 @@
         detail::queue_item item;
         detail::target* where = nullptr;
         stage at = stage::queued;
-        bool suspect = false;      ///< to run alone, by this router's own sight
+        /// Must run alone on its server: this router saw it break a connection,
+        /// or the routing table lists it as suspect.
+        bool suspect = false;
         bool may_have_run = false; ///< an attempt may have reached a server
-        bool resumed = false;      ///< a stream continued after a cut
-        bool awaits_findings = false; ///< not granted before they came
-        std::uint32_t attempts = 0;   ///< granted so far
-        std::uint32_t fruitless = 0;  ///< of them, since the caller got tokens
+        bool resumed = false;      ///< its stream was continued after a cut
+        /// Not granted until all its crashes have been examined.
+        bool awaits_findings = false;
+        std::uint32_t attempts = 0; ///< granted so far
+        /// Attempts granted since the caller last received tokens.
+        std::uint32_t fruitless = 0;
         detail::crash_count crashes;
         refusal_reason failure = refusal_reason::none; ///< of the last attempt
-        replica_id replica;                     ///< of the running attempt
-        std::string address;                    ///< of the running attempt
-        detail::server_key server{};            ///< of the running attempt
-        std::optional<detail::server_key> hold; ///< kept idle for this suspect
-        std::vector<detail::server_key> tried;
-        /// A limited server's permit was asked for on its behalf: it waits for
-        /// the answer until then.
+        replica_id replica;          ///< of the running attempt
+        std::string address;         ///< of the running attempt
+        detail::server_key server{}; ///< of the running attempt
+        /// Server that is kept idle for this suspect request.
+        std::optional<detail::server_key> hold;
+        std::vector<detail::server_key> tried; ///< servers of failed attempts
+        /// When the request stops waiting for the answer to the permit request
+        /// that was sent for it. Empty if none was sent.
         std::optional<instant> permit_awaited;
     };
 
@@ -130,30 +138,34 @@
     void note_waiting(detail::target& where);
 
     // dispatcher_permits.cpp
-    /// Asks for permits to send to limited servers of a target for which
-    /// requests wait.
+    /// Requests a permit from each rate-limited server of a target that has
+    /// requests waiting and no free slot.
     void ask_for_permits(const detail::target& where, instant now);
-    /// @return Whether a request that could go elsewhere waits for the answer
-    ///         to an ask: else limited servers would get nothing while there
-    ///         are others, and nobody would see their limits end.
+    /// @return Whether a request waits for the answer to a permit request even
+    ///         though an unlimited server is available. Without this wait,
+    ///         limited servers would get no requests while unlimited ones
+    ///         exist, and the end of a limit would go unnoticed.
     bool awaits_permit(
         const detail::target& where,
         pending& request,
         std::span<std::size_t const> usable,
         instant now);
-    /// @return Waiting targets that have a server, who is to go first in front.
+    /// @return Targets that use a server and have requests waiting, the most
+    ///         urgent first.
     std::vector<detail::target*> waiting_at(detail::server_key server) const;
-    /// @return Requests of other targets that wait for the same servers.
+    /// @return Number of requests of other targets that wait for these servers.
     std::size_t waiting_beside(
         const detail::target& where, std::span<std::size_t const> usable) const;
     void ask_for_permit(const detail::backend& one, bool waits, instant now);
-    /// How soon requests of a target can start where all its servers are
-    /// limited.
+    /// How soon requests of a target can start if all its servers are
+    /// rate-limited.
     struct limited_outlook
     {
-        duration next{};             ///< until the first one
-        double permits_a_second = 0; ///< of this router; 0: no such bound
-        std::size_t beside = 0;      ///< requests of others that go before
+        duration next{}; ///< until the first request can start
+        /// Permits per second that this router gets; 0: not rate-limited.
+        double permits_a_second = 0;
+        /// Requests of other targets expected to start first.
+        std::size_t beside = 0;
 
         duration wait(std::size_t ahead) const;
     };
@@ -199,9 +211,11 @@
     void ask_for_replicas(detail::target& where, instant now);
     instant earliest_objective(const detail::target& where, instant now) const;
     void send_demand(detail::target& where, instant now);
-    /// The same for a request that was just queued: an earlier time that
-    /// nothing waits for any more is replaced.
+    /// Schedules the tick for a request that was just queued. If it is the only
+    /// queued request, the tick time left over from earlier requests is
+    /// replaced, even if it is earlier.
     void due_by(instant when);
+    /// Moves the next tick forward to `when` if it is later than that.
     void due_no_later(instant when);
 
     options settings;
@@ -221,13 +235,14 @@
     std::optional<instant> due;
     std::uint64_t last_ticket = 0;
     std::uint32_t last_target = 0;
-    std::size_t limited_servers = 0; ///< that named a rate limit
+    std::size_t limited_servers = 0; ///< servers with a rate limit
     std::size_t queued_count = 0;
     std::size_t held_bytes = 0;
     std::array<std::size_t, detail::class_count> queued_bytes{};
     instant last_purge;
     bool draining = false;
-    bool shared_server_free = false; ///< other targets may start there now
+    /// A server became available that requests of other targets may wait for.
+    bool shared_server_free = false;
 };
 
 } // namespace roseworks
--- a/src/core/request/dispatcher_permits.cpp
+++ b/src/core/request/dispatcher_permits.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-/// A request that could go elsewhere waits for the answer to an ask so long:
-/// some trips between two data centres.
+/// How long a request that could use another server waits for the answer to a
+/// permit request. Covers a few round trips between two data centres.
 constexpr duration longest_permit_answer = std::chrono::milliseconds(30);
 
-/// @return The class and deadline of what is to go first.
+/// @return Sort key: the best waiting class, then the earliest deadline.
 std::pair<priority, instant> urgency_of(const detail::target* where)
 {
     return {
@@ -123,7 +123,7 @@
         where.backends, usable, where.max_streams, this->loads, now);
     if (free.any)
     {
-        return; // what waits, waits for something else
+        return; // the requests wait for something other than a permit
     }
     for (const detail::backend& one : where.backends)
     {
@@ -204,7 +204,8 @@
         next = std::min(next.value_or(one), one);
     }
     outlook.next = next.value_or(duration::zero());
-    // Who of them goes first changes; half of them do, on average.
+    // The order among the targets varies; on average half of the competing
+    // requests start first.
     outlook.beside = this->waiting_beside(where, usable) / 2;
     return outlook;
 }
--- a/src/core/request/dispatcher_pump.cpp
+++ b/src/core/request/dispatcher_pump.cpp
@@ -9,12 +9,13 @@
 namespace
 {
 
-/// Requests that must wait for a certain server are passed over, up to this.
+/// Number of requests that may be skipped in one pass because they must wait
+/// for a permit or for a server that has no free slot.
 constexpr std::size_t passed_over_limit = 8;
 
 constexpr duration block_retry = std::chrono::seconds(60);
 
-/// A cold wait counts as observed when demand was renewed this lately.
+/// A cold start is taken as a sample only if demand was sent within this time.
 constexpr duration demand_lapse = std::chrono::seconds(60);
 
 } // namespace
@@ -230,8 +231,9 @@
         detail::server_state& server = this->loads.at(chosen->server);
         if (server.own != 0)
         {
-            // Keep the server for it until what runs there has ended, unless
-            // better work that hasn't aged less would have to wait for it.
+            // Reserve the server until its running requests have ended. Don't
+            // start a reservation while higher-priority requests wait, unless
+            // the suspect request has aged.
             const auto best = where.queue.best_class();
             const bool must_yield =
                 best && *best < request.item.level &&
@@ -256,7 +258,7 @@
         detail::balancer::usable(where.backends, now);
     if (among.size() == 1)
     {
-        // Rather an ejected replica than the last that answers.
+        // Prefer an ejected replica over the last one that still answers.
         for (std::size_t i = 0; i < where.backends.size(); ++i)
         {
             const detail::backend& one = where.backends[i];
--- a/src/core/request/dispatcher_submit.cpp
+++ b/src/core/request/dispatcher_submit.cpp
@@ -17,13 +17,14 @@
 constexpr duration drain_retry = 1s;
 constexpr duration full_retry = 1s;
 
-/// Targets beyond this many are forgotten when they were idle for a while.
+/// Idle targets are removed only while there are more targets than this.
 constexpr std::size_t remembered_targets = 2048;
 constexpr duration idle_limit = 60s;
 constexpr duration purge_interval = 10s;
 
-/// Units of work a request is charged: one, and one for each so much prompt
-/// and answer asked for.
+/// A request costs its caller one unit, plus one unit for each full
+/// `prompt_unit_bytes` of prompt and each full `answer_unit_tokens` of
+/// requested answer.
 constexpr std::uint32_t prompt_unit_bytes = 8 * 1024;
 constexpr std::uint32_t answer_unit_tokens = 256;
 
--- a/src/core/request/dispatcher_tick.cpp
+++ b/src/core/request/dispatcher_tick.cpp
@@ -16,7 +16,7 @@
 constexpr duration shortest_retry = 100ms;
 constexpr duration longest_retry = 10min;
 
-/// A cold wait that nobody asked for again this long begins anew.
+/// If no demand was sent for this long, the cold start counts as a new one.
 constexpr duration demand_lapse = 60s;
 
 } // namespace
@@ -59,7 +59,7 @@
     }
 }
 
-/// No request waits for a cache event, so nothing else follows.
+/// Cache events never unblock a waiting request, so no grants are attempted.
 void dispatcher::impl::cache_reported(const cache_report& report, instant now)
 {
     if (this->settings.affinity == prefix_affinity::cache_events)
@@ -183,7 +183,7 @@
 duration
 dispatcher::impl::remaining_cold(const detail::target& where, instant now) const
 {
-    // What placement plans goes before what was seen of other loads.
+    // The time planned by placement takes precedence over past cold starts.
     if (where.expected_ready)
         return std::max(*where.expected_ready - now, duration::zero());
     const duration whole = where.estimator.cold(where.load_estimate);
@@ -201,7 +201,7 @@
     const pending& request = this->requests.at(item.id);
     const duration prefill =
         where.estimator.prefill(request.info.prompt_bytes, now);
-    // How much of a resumed stream is left isn't known.
+    // The remaining length of a resumed stream is unknown.
     const duration rest =
         request.resumed ? duration::zero()
                         : where.estimator.rest(request.info.max_tokens, now);
@@ -210,7 +210,7 @@
 
 duration dispatcher::impl::spread(duration value)
 {
-    // Up to a quarter more, so that those refused don't come back together.
+    // Adds up to 25 % so that refused callers don't all retry at once.
     const duration least = std::clamp(value, shortest_retry, longest_retry);
     const auto part = static_cast<duration::rep>(this->random() >> 48);
     return least + least / 4 * part / (1 << 16);
--- a/src/core/request/interval_estimate.hpp
+++ b/src/core/request/interval_estimate.hpp
@@ -8,20 +8,23 @@
 namespace roseworks
 {
 
-/** What length an interval is expected to have, from those seen.
+/** Estimates the length of an interval from samples.
 
-    Smoothed mean and mean deviation with the gains of TCP's retransmission
-    timer (RFC 6298). A hint.
+    Uses a smoothed mean and mean deviation with the gains of TCP's
+    retransmission timer (RFC 6298).
+
+    Advisory: an error here cannot break a guarantee.
 */
 class interval_estimate
 {
 public:
-    /// Samples below which nothing is expected.
+    /// With fewer samples than this there is no estimate.
     static constexpr std::uint32_t wanted_samples = 4;
 
     void add(duration sample);
 
-    /// @return Twice the mean and four deviations; empty while unknown.
+    /// @return Twice the mean plus four mean deviations; empty if there are too
+    ///         few samples.
     std::optional<duration> longest_expected() const;
 
 private:
--- a/src/core/request/progress_estimator.cpp
+++ b/src/core/request/progress_estimator.cpp
@@ -12,13 +12,15 @@
 
 constexpr std::uint32_t most_backoff = 64;
 constexpr std::uint32_t bytes_per_token = 4;
-/// Tokens read in the time that one is written.
+/// Prompt tokens processed in the time it takes to generate one token.
 constexpr std::uint32_t prefill_speedup = 16;
 constexpr unsigned size_bits = 6;
-/// A stream's pace varies with what else its engine runs.
+/// Margin for the other load of the engine, which changes the gaps between the
+/// events of a stream.
 constexpr int pace_factor = 4;
 
-/// @return The order of size of the work before the first byte.
+/// @return The binary order of magnitude of the work before the first byte,
+///         measured in generated tokens.
 std::uint64_t size_class(const work_kind& work)
 {
     const std::uint64_t prefill =
--- a/src/core/request/progress_estimator.hpp
+++ b/src/core/request/progress_estimator.hpp
@@ -12,48 +12,51 @@
 namespace roseworks
 {
 
-/// What the time to an answer's first byte depends on.
+/// Request properties that determine the time to first byte.
 struct work_kind
 {
-    std::string_view target; ///< servable's or service's name
-    bool streamed = false;   ///< else the first byte comes after the last token
+    std::string_view target; ///< name of the servable or service
+    /// If false, the first byte is sent only after the last token is generated.
+    bool streamed = false;
     std::uint32_t prompt_bytes = 0;
     std::uint32_t max_tokens = 0;
 };
 
-/// How much is known of a connection that a request was sent on.
+/// The kind of connection that a request was sent on.
 enum class connection_kind : std::uint8_t
 {
-    kept, ///< carried an answer before; may have been forgotten on the way
-    fresh ///< has just been opened: the way works, or worked a moment ago
+    kept, ///< carried an answer before; the path may have dropped it since
+    fresh ///< just opened, so the network path worked a moment ago
 };
 
-/** How long to wait for an answer's first byte before taking the connection
-    for silent.
+/** Computes the time-out for the first byte of an answer. When it expires, the
+    connection is considered silent.
 
-    Learns from answers of the same target, way of answering and order of size.
-    A limit that ran out doubles the next ones of its kind until an answer
-    comes within the limit again (as Karn's backoff does), so that a server
-    that has become slow isn't given up over and over. Without knowledge the
-    ceiling holds. Bounded memory. A hint.
+    The estimate is based on answers of the same target, streaming mode and size
+    class. Each time-out doubles the following limits of that kind until an
+    answer arrives within the limit again, as in Karn's algorithm. This avoids
+    repeated time-outs on a server that has become slow. Without samples the
+    ceiling applies. Memory use is bounded.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class progress_estimator
 {
 public:
     static constexpr duration floor = std::chrono::milliseconds(250);
-    /// More patience on a fresh connection.
+    /// Factor by which the limit is longer on a fresh connection.
     static constexpr int fresh_factor = 4;
     static constexpr std::size_t most_kinds = 1024;
 
-    /// @param ceiling the longest limit.
-    /// @return        the limit, counted from sending.
+    /// @param ceiling Upper bound of the limit.
+    /// @return        Time limit, measured from sending the request.
     duration first_byte_limit(
         const work_kind& work, connection_kind on, duration ceiling) const;
 
-    /// An answer's first byte came so long after sending.
+    /// Records the time from sending a request to the first byte of its answer.
     void answered(const work_kind& work, duration first_byte, instant now);
 
-    /// A limit ran out.
+    /// Records that a limit expired.
     void ran_out(const work_kind& work);
 
 private:
@@ -70,16 +73,18 @@
     std::unordered_map<std::uint64_t, entry> entries;
 };
 
-/** How long to wait between two events of one stream, from its own pace. */
+/** Computes the time-out between two events of one stream from the gaps seen
+    so far in that stream. */
 class stream_pace
 {
 public:
     static constexpr duration floor = std::chrono::seconds(1);
 
-    /// Events came.
+    /// Records the arrival of one or more events.
     void event(instant now);
 
-    /// @param ceiling the longest limit, and the one while the pace is unknown.
+    /// @param ceiling Upper bound of the limit, and the limit while there are
+    ///                too few samples.
     duration limit(duration ceiling) const;
 
 private:
--- a/src/core/request/retry_budget.cpp
+++ b/src/core/request/retry_budget.cpp
@@ -49,7 +49,8 @@
 {
     if (this->started)
     {
-        // An instant's unit is a millionth of a second.
+        // `instant` counts microseconds and tokens are counted in millionths,
+        // so one token per second is one unit per tick.
         constexpr std::int64_t longest = floor_seconds * whole;
         const std::int64_t passed =
             std::clamp<std::int64_t>((now - this->last).count(), 0, longest);
--- a/src/core/request/retry_budget.hpp
+++ b/src/core/request/retry_budget.hpp
@@ -7,36 +7,40 @@
 namespace roseworks::detail
 {
 
-/** Bounds the retries of one target, so that they can't multiply a failure.
+/** Limits the retries of one target so that they can't amplify a failure.
 
-    A token bucket: each answer adds `percent` / 100 of a token and each second
-    three more, up to ten seconds' worth of the latter plus one for each per
-    cent; a retry takes one. The floor lets a rarely used model retry at all.
-    Hint.
+    A token bucket. Each answer adds `percent_of_answers` / 100 of a token, and
+    each second adds `floor_per_second` tokens. The capacity is ten seconds'
+    worth of the latter plus `percent_of_answers` tokens. A retry takes one
+    token. The tokens added per second allow a rarely used model to retry.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class retry_budget
 {
 public:
     static constexpr std::int64_t floor_per_second = 3;
 
-    /// With one second's floor to begin with.
+    /// Starts with the tokens that one second adds.
     explicit retry_budget(std::uint32_t percent_of_answers);
 
-    /// Full to begin with: for streams that are continued, which costs a
-    /// prefill and not the answer again.
+    /// Starts full. Used for resumed streams: resuming costs a prefill, but the
+    /// answer is not generated again.
     static retry_budget make_full(std::uint32_t percent_of_answers);
 
-    /// A request was answered.
+    /// Adds the tokens for one answered request.
     void deposit(instant now);
 
-    /// @param spare leave the last third to more urgent retries.
-    /// @return      Whether a retry may be sent; takes its token.
+    /// Takes the token for a retry if there is one.
+    /// @param spare Leave the last third of the capacity to more urgent
+    /// retries.
+    /// @return      Whether the retry may be sent.
     bool withdraw(instant now, bool spare = false);
 
 private:
     void refill(instant now);
 
-    // Counted in millionths of a token, so that sums are exact.
+    // In millionths of a token, so that sums are exact.
     std::int64_t per_answer;
     std::int64_t limit;
     std::int64_t tokens;
--- a/src/core/request/shared_retry_budget.hpp
+++ b/src/core/request/shared_retry_budget.hpp
@@ -9,37 +9,42 @@
 namespace roseworks
 {
 
-/** This router's part of the retries that all routers together may send to one
-    service within a window.
-
-    Load pattern: a service loses servers and every request on them fails at
-    once, at all routers. All routers share one allowance of so many retries
-    for each request of the window, plus a fixed number; a router that keeps to
-    its own requests' share and an equal part of the fixed number needs no word
-    with the others. Counts slide by tenths of the window. Hint.
+/** This router's share of the retries that all routers together may send to one
+    service within a sliding window.
+
+    Load pattern: a service loses servers, and every request on them fails at
+    the same moment on all routers. The total allowance is a ratio of the
+    requests in the window plus a fixed number. Each router uses the ratio of
+    its own requests plus an equal share of the fixed number, so the routers
+    need not communicate. The window slides in steps of a tenth of its length.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class shared_retry_budget
 {
 public:
     struct options
     {
-        double ratio = 0.2; ///< retries for each request
-        double extra = 50;  ///< retries beside them, all routers
+        double ratio = 0.2; ///< retries per request
+        double extra = 50;  ///< additional retries, over all routers
         duration window = std::chrono::seconds(10);
-        /// Used of both: requests counted here may be in another window there.
+        /// Fraction of the allowance that is used. The windows are not aligned:
+        /// a request counted here may fall into another window elsewhere.
         double caution = 0.7;
     };
 
     explicit shared_retry_budget(options settings);
 
-    /// A caller's request for the service has arrived.
+    /// Counts a caller's request to the service.
     void requested(instant now);
 
-    /// @param routers that share the allowance, this one included.
-    /// @return        Whether a retry may be sent; counts it.
+    /// Counts a retry if it is allowed.
+    /// @param routers Number of routers that share the allowance, including
+    ///                this one.
+    /// @return        Whether the retry may be sent.
     bool withdraw(std::size_t routers, instant now);
 
-    /// @return Retries that may be sent now.
+    /// @return Number of retries that may be sent now.
     std::size_t left(std::size_t routers, instant now);
 
 private:
@@ -55,7 +60,7 @@
 
     options settings;
     std::array<part, part_count> parts{};
-    std::int64_t newest = 0; ///< number of the newest part
+    std::int64_t newest = 0; ///< index of the newest slice since the epoch
     bool started = false;
 };
 
--- a/src/core/request/stream_position.cpp
+++ b/src/core/request/stream_position.cpp
@@ -24,7 +24,7 @@
 
 bool stream_position::begin(std::string_view tag)
 {
-    // A run of which the caller has nothing is not continued but forgotten.
+    // The caller has no event of the earlier run, so this one starts afresh.
     if (!this->last)
     {
         this->runs = 1;
--- a/src/core/request/stream_position.hpp
+++ b/src/core/request/stream_position.hpp
@@ -8,46 +8,49 @@
 namespace roseworks
 {
 
-/** What of an event stream its caller has, so that another run can go on.
+/** Tracks which events of an event stream the caller has received, so that
+    another run can continue the stream.
 
-    A run can be continued when its head carries an `ETag`, which names the
-    generation (model, version, prompt and sampling), and each of its events
-    with data an `id` that is a whole number, one above the one before. A run
-    is joined to it only under the same tag, and only with the very next id:
-    else the pieces could be of two generations, or an event be missing or
-    doubled.
+    A stream can be continued if its response head carries an `ETag` that
+    identifies the generation (model, version, prompt and sampling), and if each
+    event with data has an integer `id` one above the previous one. Another run
+    continues it only if the tag is the same and the first id is the next one.
+    Otherwise the caller could receive a mix of two generations, or an event
+    could be missing or duplicated.
 */
 class stream_position
 {
 public:
-    /// A run's head has come. Called for the first and for each later run.
-    /// @return Whether its events may be passed on.
+    /// Starts a run when its response head arrives.
+    /// @param tag The `ETag` of the response; empty without one.
+    /// @return    Whether the events of the run may be passed to the caller.
     bool begin(std::string_view tag);
 
-    /// An event with data has come; it is passed on if accepted.
-    /// @param id the event's id, empty without one.
-    /// @return   false when it can't follow what the caller has.
+    /// Checks an event with data before it is passed to the caller.
+    /// @param id The event's id; empty without one.
+    /// @return   False if the event can't follow those the caller has.
     bool accept(std::string_view id);
 
-    /// @return Whether another run can go on from here.
+    /// @return Whether another run can continue the stream from here.
     bool resumable() const
     {
         return this->can_resume && this->last.has_value();
     }
 
-    /// Whether a run is being joined to an earlier one.
+    /// @return Whether the current run continues an earlier one.
     bool joining() const
     {
         return this->runs > 1;
     }
 
-    /// It can't be gone on with.
+    /// Marks the stream as not resumable.
     void give_up()
     {
         this->can_resume = false;
     }
 
-    /// @return The last event's id that the caller has; 0 before the first.
+    /// @return The id of the last event passed to the caller; 0 before the
+    ///         first.
     std::uint64_t last_id() const
     {
         return this->last.value_or(0);
--- a/src/core/request/target.hpp
+++ b/src/core/request/target.hpp
@@ -14,18 +14,20 @@
 namespace roseworks::detail
 {
 
-/// Prompts above this are long: they may not take every slot.
+/// Prompts above this size are long. While short ones wait, long prompts may
+/// occupy at most half of the slots.
 inline constexpr std::uint32_t long_prompt_bytes = 8 * 1024;
 
-/** What the dispatcher keeps of one model, adapter or plain service: its
-    queue, its backend servers as the table lists them, and what was learnt of
-    it. Hint. */
+/** Dispatcher state of one model, adapter or plain service: its queue, its
+    backend servers from the routing table, and its measured timings.
+
+    Advisory: an error here cannot break a guarantee. */
 class target
 {
 public:
     using leaving_vms = std::set<std::string, std::less<>>;
 
-    /// @param number Its place in the order of first use.
+    /// @param number Position in the order of first use.
     target(
         std::uint32_t number,
         std::string name,
@@ -33,30 +35,32 @@
         duration ageing,
         std::uint32_t retry_percent);
 
-    /** Take the entry of a new table over, counters kept.
+    /** Applies the target's entry in a new routing table. Counters are kept.
 
-        @return Whether the table has the target.
+        @return Whether the table contains the target.
     */
     bool refresh(const routing_table& table, const leaving_vms& leaving);
 
-    /// Marks the backends on leaving VMs.
+    /// Sets `backend::leaving` according to the set of leaving VMs.
     void mark_leaving(const leaving_vms& leaving);
 
-    /// @return The backend a grant named, null when it is forgotten.
+    /// @return The backend that a grant named; null if it was removed since.
     backend* find(replica_id replica, std::string_view address);
 
-    /// Forgets backends that left the table and run nothing.
+    /// Removes backends that are not in the table and run no requests.
     void drop_unlisted();
 
-    /// @return Requests of a class that run at once on these backends, those
-    ///         left out that named a rate limit.
+    /// @return Number of requests that can run at once on the given backends.
+    ///         Rate-limited backends are not counted.
+    /// @param  batch Whether the slots are for batch requests, which leave one
+    ///         slot free.
     std::size_t slots(
         std::span<std::size_t const> usable,
         bool batch,
         const server_loads& loads,
         instant now) const;
 
-    /// @return Requests that wait, suspect ones included.
+    /// @return Number of waiting requests, including suspect ones.
     std::size_t waiting() const
     {
         return this->queue.size() + this->suspects.size();
@@ -73,26 +77,28 @@
     servable_id servable;
     std::uint16_t max_streams = 1;
     std::uint16_t max_replicas = 0;
-    bool granted = false; ///< may be loaded while the log is away
+    bool granted = false; ///< may be loaded while the log is unavailable
     duration load_estimate{};
-    /// Nowhere yet, it can be ready then; empty: not known.
+    /// When a target without replicas is expected to be ready; empty: unknown.
     std::optional<instant> expected_ready;
-    std::uint64_t generation = 0; ///< of the table it was refreshed from
-    bool known = false;           ///< the table has it
+    std::uint64_t generation = 0; ///< of the table last applied
+    bool known = false;           ///< the table contains it
 
     admission_queue queue;
-    std::vector<ticket> suspects; ///< waiting to run alone, oldest first
+    /// Suspect requests that wait to run alone on a server, oldest first.
+    std::vector<ticket> suspects;
     std::vector<backend> backends;
     wait_estimator estimator;
     retry_budget budget;
-    retry_budget resume_budget; ///< of streams that are continued
+    retry_budget resume_budget; ///< for resumed streams
     circuit_breaker breaker;
     std::uint32_t in_flight = 0;
     std::uint32_t long_in_flight = 0;
     std::uint32_t suspects_running = 0;
 
-    std::optional<instant> cold_since;  ///< first asked for, not ready yet
-    std::optional<instant> last_demand; ///< sent to the control thread
+    /// When the pending cold start was first requested; empty: none is pending.
+    std::optional<instant> cold_since;
+    std::optional<instant> last_demand; ///< last sent to the control thread
     instant last_used;
 
 private:
