--- a/src/core/admission/admission_queue.cpp
+++ b/src/core/admission/admission_queue.cpp
@@ -6,8 +6,8 @@
 namespace roseworks::detail
 {
 
-admission_queue::admission_queue(duration wait_worth_a_class)
-    : ageing(std::max(wait_worth_a_class, duration(1)))
+admission_queue::admission_queue(duration ageing_interval)
+    : ageing(std::max(ageing_interval, duration(1)))
 {
 }
 
@@ -49,9 +49,9 @@
         {
             continue;
         }
-        if (const auto old = this->aged(allowed, level, now))
+        if (const auto aged_item = this->aged(allowed, level, now))
         {
-            return choice{*old, true};
+            return choice{*aged_item, true};
         }
         return choice{this->items.at(*id), false};
     }
@@ -61,7 +61,7 @@
 std::optional<queue_item> admission_queue::aged(
     const filter& allowed, std::size_t best, instant now) const
 {
-    if (this->since_aged + 1 < aged_share)
+    if (this->grants_since_aged + 1 < aged_grant_interval)
     {
         return std::nullopt;
     }
@@ -99,7 +99,7 @@
 {
     this->erase(chosen.item.id);
     this->classes[index(chosen.item.level)].charge(chosen.item);
-    this->since_aged = chosen.aged ? 0 : this->since_aged + 1;
+    this->grants_since_aged = chosen.aged ? 0 : this->grants_since_aged + 1;
 }
 
 std::size_t admission_queue::ahead_of(const queue_item& item) const
@@ -112,28 +112,29 @@
     return ahead;
 }
 
-std::vector<ticket> admission_queue::examine_all(const examiner& examine) const
+std::vector<ticket> admission_queue::visit_waiting(const visitor& visit) const
 {
     std::vector<ticket> refused;
-    std::size_t better = 0;
-    for (const fair_share& one : this->classes)
+    std::size_t higher_count = 0;
+    for (const fair_share& class_queue : this->classes)
     {
-        const std::vector<ticket> here = one.examine_all(
-            [this, &examine, better](ticket id, std::size_t ahead)
+        const std::vector<ticket> refused_here = class_queue.visit_waiting(
+            [this, &visit, higher_count](ticket id, std::size_t ahead)
             {
-                return examine(this->items.at(id), better + ahead);
+                return visit(this->items.at(id), higher_count + ahead);
             });
-        refused.insert(refused.end(), here.begin(), here.end());
-        better += one.size() - here.size();
+        refused.insert(refused.end(), refused_here.begin(), refused_here.end());
+        higher_count += class_queue.size() - refused_here.size();
     }
     return refused;
 }
 
-std::optional<queue_item> admission_queue::least_wanted(priority below) const
+std::optional<queue_item>
+admission_queue::displacement_candidate(priority below) const
 {
     for (std::size_t level = class_count - 1; level > index(below); --level)
     {
-        if (const auto id = this->classes[level].least_wanted())
+        if (const auto id = this->classes[level].displacement_candidate())
         {
             return this->items.at(*id);
         }
@@ -156,9 +157,9 @@
 std::optional<instant> admission_queue::earliest_deadline() const
 {
     std::optional<instant> earliest;
-    for (const fair_share& one : this->classes)
+    for (const fair_share& class_queue : this->classes)
     {
-        if (const auto first = one.earliest_deadline())
+        if (const auto first = class_queue.earliest_deadline())
         {
             earliest = earliest ? std::min(*earliest, *first) : *first;
         }
@@ -166,14 +167,14 @@
     return earliest;
 }
 
-std::size_t admission_queue::short_size(bool allow_batch) const
+std::size_t admission_queue::short_prompt_count(bool allow_batch) const
 {
     const std::size_t usable =
         allow_batch ? class_count : index(priority::batch);
     std::size_t total = 0;
     for (std::size_t level = 0; level < usable; ++level)
     {
-        total += this->classes[level].short_size();
+        total += this->classes[level].short_prompt_count();
     }
     return total;
 }
--- a/src/core/admission/admission_queue.hpp
+++ b/src/core/admission/admission_queue.hpp
@@ -17,9 +17,9 @@
     The highest waiting class goes first; `fair_share` orders the requests
    inside a class. A request that has waited for `ageing` competes one class
    higher, after twice that time two classes higher, and so on. One grant in
-    `aged_share` goes to the oldest request whose aged class is at least as high
-    as the highest waiting class. So no request starves, and a backlog of old
-    batch requests takes at most that share from urgent ones.
+    `aged_grant_interval` goes to the oldest request whose aged class is at
+   least as high as the highest waiting class. So no request starves, and a
+   backlog of old batch requests takes at most that share from urgent ones.
 
     Advisory: an error here cannot break a guarantee.
 */
@@ -28,7 +28,7 @@
 public:
     /// One grant in this many may go to an aged request ahead of higher
     /// classes.
-    static constexpr std::uint32_t aged_share = 4;
+    static constexpr std::uint32_t aged_grant_interval = 4;
 
     /// Which requests may be chosen.
     struct filter
@@ -44,7 +44,7 @@
         bool aged = false; ///< chosen by age, not by class
     };
 
-    explicit admission_queue(duration wait_worth_a_class);
+    explicit admission_queue(duration ageing_interval);
 
     void push(const queue_item& item);
 
@@ -62,7 +62,7 @@
 
     /// Called for each request with the estimated number of requests before it.
     /// @return Whether the request keeps waiting.
-    using examiner =
+    using visitor =
         std::function<bool(const queue_item& item, std::size_t ahead)>;
 
     /** Visits each request, highest class first.
@@ -70,14 +70,14 @@
         @return The requests for which the callback returned false. They are not
                 removed.
     */
-    std::vector<ticket> examine_all(const examiner& examine) const;
+    std::vector<ticket> visit_waiting(const visitor& visit) const;
 
     /// @return The request that a request of the given class may displace. It
     /// is
     ///         taken from the lowest waiting class, if that is lower than the
     ///         given one: of the caller with the most requests, the one with
     ///         the latest deadline.
-    std::optional<queue_item> least_wanted(priority below) const;
+    std::optional<queue_item> displacement_candidate(priority below) const;
 
     /// @return The highest waiting class; empty if no request waits.
     std::optional<priority> best_class() const;
@@ -102,7 +102,7 @@
     /// @return Number of waiting requests with short prompts. Batch requests
     /// are
     ///         counted only if `allow_batch` is set.
-    std::size_t short_size(bool allow_batch) const;
+    std::size_t short_prompt_count(bool allow_batch) const;
 
 private:
     static std::size_t index(priority level)
@@ -118,7 +118,7 @@
     std::array<std::set<std::pair<instant, std::uint64_t>>, class_count>
         arrivals;
     std::unordered_map<ticket, queue_item> items;
-    std::uint32_t since_aged = 0;
+    std::uint32_t grants_since_aged = 0;
 };
 
 } // namespace roseworks::detail
--- a/src/core/admission/caller_limits.cpp
+++ b/src/core/admission/caller_limits.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr duration in_flight_retry = std::chrono::milliseconds(500);
-constexpr duration idle_limit = std::chrono::minutes(1);
+constexpr duration in_flight_retry_after = std::chrono::milliseconds(500);
+constexpr duration caller_idle_timeout = std::chrono::minutes(1);
 
 double seconds(duration value)
 {
@@ -23,28 +23,30 @@
     std::string_view name, const caller_spec& spec, instant now)
 {
     admission result;
-    entry& mine = this->find_or_add(name, spec, now, result.caller);
+    entry& caller_entry = this->find_or_add(name, spec, now, result.caller);
 
     const double rate = spec.requests_per_second;
-    mine.tokens = std::min(rate, mine.tokens + rate * seconds(now - mine.last));
-    mine.last = now;
+    caller_entry.tokens = std::min(
+        rate, caller_entry.tokens + rate * seconds(now - caller_entry.last));
+    caller_entry.last = now;
 
-    if (spec.max_in_flight != 0 && mine.in_flight >= spec.max_in_flight)
+    if (spec.max_in_flight != 0 && caller_entry.in_flight >= spec.max_in_flight)
     {
-        result.refused = in_flight_retry;
+        result.refused = in_flight_retry_after;
         return result;
     }
     if (spec.requests_per_second != 0)
     {
-        if (mine.tokens < 1)
+        if (caller_entry.tokens < 1)
         {
-            result.refused = std::chrono::ceil<duration>(
-                std::chrono::duration<double>((1 - mine.tokens) / rate));
+            result.refused =
+                std::chrono::ceil<duration>(std::chrono::duration<double>(
+                    (1 - caller_entry.tokens) / rate));
             return result;
         }
-        mine.tokens -= 1;
+        caller_entry.tokens -= 1;
     }
-    ++mine.in_flight;
+    ++caller_entry.in_flight;
     return result;
 }
 
@@ -85,10 +87,11 @@
 {
     std::erase_if(
         this->entries,
-        [this, now](const auto& one)
+        [this, now](const auto& item)
         {
-            const entry& candidate = one.second;
-            if (candidate.in_flight != 0 || now - candidate.last < idle_limit)
+            const entry& candidate = item.second;
+            if (candidate.in_flight != 0 ||
+                now - candidate.last < caller_idle_timeout)
             {
                 return false;
             }
--- a/src/core/admission/fair_share.cpp
+++ b/src/core/admission/fair_share.cpp
@@ -11,26 +11,27 @@
 
 /// Up to this many idle callers are kept. Beyond that, idle callers are removed
 /// once the virtual time has reached their start tag.
-constexpr std::size_t remembered_lines = 64;
+constexpr std::size_t max_idle_callers = 64;
 
 /// Virtual time units per unit of cost. Keeps the rounding error small when
 /// costs are divided by weights.
-constexpr std::uint64_t pass_scale = 1 << 12;
+constexpr std::uint64_t virtual_time_scale = 1 << 12;
 
 } // namespace
 
 void fair_share::push(const queue_item& item)
 {
-    line& mine = this->lines[item.caller];
-    if (mine.size() == 0)
+    caller_queue& own_queue = this->caller_queues[item.caller];
+    if (own_queue.size() == 0)
     {
-        mine.weight = std::max<std::uint16_t>(item.weight, 1);
-        mine.pass = std::max(mine.pass, this->virtual_time);
-        this->active.emplace(mine.pass, item.caller);
-        this->active_weight += mine.weight;
+        own_queue.weight = std::max<std::uint16_t>(item.weight, 1);
+        own_queue.start_tag = std::max(own_queue.start_tag, this->virtual_time);
+        this->active.emplace(own_queue.start_tag, item.caller);
+        this->active_weight += own_queue.weight;
     }
 
-    ordered_keys& keys = item.long_prompt ? mine.long_items : mine.short_items;
+    ordered_keys& keys =
+        item.long_prompt ? own_queue.long_items : own_queue.short_items;
     keys.insert(key(item.deadline, item.id.value));
     ++this->count;
     this->short_count += item.long_prompt ? 0 : 1;
@@ -38,43 +39,44 @@
 
 void fair_share::erase(const queue_item& item)
 {
-    auto found = this->lines.find(item.caller);
-    assert(found != this->lines.end());
-    line& mine = found->second;
+    auto found = this->caller_queues.find(item.caller);
+    assert(found != this->caller_queues.end());
+    caller_queue& own_queue = found->second;
 
-    ordered_keys& keys = item.long_prompt ? mine.long_items : mine.short_items;
+    ordered_keys& keys =
+        item.long_prompt ? own_queue.long_items : own_queue.short_items;
     keys.erase(key(item.deadline, item.id.value));
     --this->count;
     this->short_count -= item.long_prompt ? 0 : 1;
 
-    if (mine.size() == 0)
+    if (own_queue.size() == 0)
     {
-        this->active.erase({mine.pass, item.caller});
-        this->active_weight -= mine.weight;
+        this->active.erase({own_queue.start_tag, item.caller});
+        this->active_weight -= own_queue.weight;
         this->forget_idle();
     }
 }
 
 std::optional<ticket> fair_share::next(bool allow_long) const
 {
-    for (const auto& [pass, caller] : this->active)
+    for (const auto& [start_tag, caller] : this->active)
     {
-        const line& one = this->lines.at(caller);
-        const bool use_long = allow_long && !one.long_items.empty();
-        if (one.short_items.empty() && !use_long)
+        const caller_queue& queue = this->caller_queues.at(caller);
+        const bool use_long = allow_long && !queue.long_items.empty();
+        if (queue.short_items.empty() && !use_long)
         {
             continue;
         }
-        if (one.short_items.empty())
+        if (queue.short_items.empty())
         {
-            return ticket(one.long_items.begin()->second);
+            return ticket(queue.long_items.begin()->second);
         }
         if (!use_long)
         {
-            return ticket(one.short_items.begin()->second);
+            return ticket(queue.short_items.begin()->second);
         }
         const key first =
-            std::min(*one.short_items.begin(), *one.long_items.begin());
+            std::min(*queue.short_items.begin(), *queue.long_items.begin());
         return ticket(first.second);
     }
     return std::nullopt;
@@ -82,63 +84,66 @@
 
 void fair_share::charge(const queue_item& item)
 {
-    line& mine = this->lines[item.caller];
-    const bool waits = mine.size() != 0;
+    caller_queue& own_queue = this->caller_queues[item.caller];
+    const bool waits = own_queue.size() != 0;
     if (waits)
     {
-        this->active.erase({mine.pass, item.caller});
+        this->active.erase({own_queue.start_tag, item.caller});
     }
-    this->virtual_time = std::max(this->virtual_time, mine.pass);
+    this->virtual_time = std::max(this->virtual_time, own_queue.start_tag);
     const std::uint16_t weight = std::max<std::uint16_t>(item.weight, 1);
-    mine.pass = std::max(mine.pass, this->virtual_time) +
-                pass_scale * item.cost / weight;
+    own_queue.start_tag = std::max(own_queue.start_tag, this->virtual_time) +
+                          virtual_time_scale * item.cost / weight;
     if (waits)
     {
-        this->active.emplace(mine.pass, item.caller);
+        this->active.emplace(own_queue.start_tag, item.caller);
     }
 }
 
 std::size_t fair_share::ahead_of(const queue_item& item) const
 {
-    const auto found = this->lines.find(item.caller);
-    if (found == this->lines.end() || found->second.size() == 0)
+    const auto found = this->caller_queues.find(item.caller);
+    if (found == this->caller_queues.end() || found->second.size() == 0)
     {
-        line alone;
-        alone.weight = std::max<std::uint16_t>(item.weight, 1);
-        return this->ahead_at(0, 0, alone);
+        caller_queue new_caller;
+        new_caller.weight = std::max<std::uint16_t>(item.weight, 1);
+        return this->estimate_ahead(0, 0, new_caller);
     }
-    const line& mine = found->second;
-    const key own(item.deadline, item.id.value);
-    const std::size_t position =
-        mine.short_items.order_of_key(own) + mine.long_items.order_of_key(own);
-    return this->ahead_at(position, mine.size(), mine);
+    const caller_queue& own_queue = found->second;
+    const key own_key(item.deadline, item.id.value);
+    const std::size_t position = own_queue.short_items.order_of_key(own_key) +
+                                 own_queue.long_items.order_of_key(own_key);
+    return this->estimate_ahead(position, own_queue.size(), own_queue);
 }
 
-std::size_t fair_share::ahead_at(
-    std::size_t position, std::size_t own, const line& of) const
+std::size_t fair_share::estimate_ahead(
+    std::size_t position,
+    std::size_t own_count,
+    const caller_queue& requester_queue) const
 {
-    const std::size_t all = this->count - own + position;
-    const std::size_t shared = position * this->active_weight / of.weight;
+    const std::size_t all = this->count - own_count + position;
+    const std::size_t shared =
+        position * this->active_weight / requester_queue.weight;
     return std::max(position, std::min(all, shared));
 }
 
-std::vector<ticket> fair_share::examine_all(const examiner& examine) const
+std::vector<ticket> fair_share::visit_waiting(const visitor& visit) const
 {
     std::vector<ticket> refused;
-    for (const auto& [caller, one] : this->lines)
+    for (const auto& [caller, queue] : this->caller_queues)
     {
         std::size_t kept = 0;
-        auto short_item = one.short_items.begin();
-        auto long_item = one.long_items.begin();
-        while (short_item != one.short_items.end() ||
-               long_item != one.long_items.end())
+        auto short_item = queue.short_items.begin();
+        auto long_item = queue.long_items.begin();
+        while (short_item != queue.short_items.end() ||
+               long_item != queue.long_items.end())
         {
-            const bool take_long =
-                short_item == one.short_items.end() ||
-                (long_item != one.long_items.end() && *long_item < *short_item);
+            const bool take_long = short_item == queue.short_items.end() ||
+                                   (long_item != queue.long_items.end() &&
+                                    *long_item < *short_item);
             const ticket id((take_long ? long_item : short_item)->second);
             ++(take_long ? long_item : short_item);
-            if (examine(id, this->ahead_at(kept, one.size(), one)))
+            if (visit(id, this->estimate_ahead(kept, queue.size(), queue)))
             {
                 ++kept;
             }
@@ -151,15 +156,15 @@
     return refused;
 }
 
-std::optional<ticket> fair_share::least_wanted() const
+std::optional<ticket> fair_share::displacement_candidate() const
 {
-    const line* longest = nullptr;
-    for (const auto& [caller, one] : this->lines)
+    const caller_queue* longest = nullptr;
+    for (const auto& [caller, queue] : this->caller_queues)
     {
-        if (one.size() != 0 &&
-            (longest == nullptr || one.size() > longest->size()))
+        if (queue.size() != 0 &&
+            (longest == nullptr || queue.size() > longest->size()))
         {
-            longest = &one;
+            longest = &queue;
         }
     }
     if (longest == nullptr)
@@ -183,10 +188,10 @@
 std::optional<instant> fair_share::earliest_deadline() const
 {
     std::optional<instant> earliest;
-    for (const auto& [pass, caller] : this->active)
+    for (const auto& [start_tag, caller] : this->active)
     {
-        const line& one = this->lines.at(caller);
-        for (const ordered_keys* keys : {&one.short_items, &one.long_items})
+        const caller_queue& queue = this->caller_queues.at(caller);
+        for (const ordered_keys* keys : {&queue.short_items, &queue.long_items})
         {
             if (!keys->empty())
             {
@@ -200,16 +205,16 @@
 
 void fair_share::forget_idle()
 {
-    if (this->lines.size() <= remembered_lines + this->active.size())
+    if (this->caller_queues.size() <= max_idle_callers + this->active.size())
     {
         return;
     }
     std::erase_if(
-        this->lines,
+        this->caller_queues,
         [this](const auto& entry)
         {
             return entry.second.size() == 0 &&
-                   entry.second.pass <= this->virtual_time;
+                   entry.second.start_tag <= this->virtual_time;
         });
 }
 
--- a/src/core/admission/fair_share.hpp
+++ b/src/core/admission/fair_share.hpp
@@ -55,7 +55,7 @@
 
     /// Called for each request with the estimated number of requests before it.
     /// @return Whether the request keeps waiting.
-    using examiner = std::function<bool(ticket, std::size_t ahead)>;
+    using visitor = std::function<bool(ticket, std::size_t ahead)>;
 
     /** Visits each request, by caller and then by deadline.
 
@@ -64,12 +64,12 @@
         @return        The requests for which it returned false. They are not
                        removed.
     */
-    std::vector<ticket> examine_all(const examiner& examine) const;
+    std::vector<ticket> visit_waiting(const visitor& visit) const;
 
     /// @return The request with the latest deadline, of the caller with the
     /// most
     ///         waiting requests.
-    std::optional<ticket> least_wanted() const;
+    std::optional<ticket> displacement_candidate() const;
 
     /// @return The earliest deadline; empty if no request waits.
     std::optional<instant> earliest_deadline() const;
@@ -79,7 +79,7 @@
         return this->count;
     }
 
-    std::size_t short_size() const
+    std::size_t short_prompt_count() const
     {
         return this->short_count;
     }
@@ -93,9 +93,9 @@
         __gnu_pbds::rb_tree_tag,
         __gnu_pbds::tree_order_statistics_node_update>;
 
-    struct line
+    struct caller_queue
     {
-        std::uint64_t pass = 0;
+        std::uint64_t start_tag = 0;
         std::uint16_t weight = 1;
         ordered_keys short_items;
         ordered_keys long_items;
@@ -106,11 +106,13 @@
         }
     };
 
-    std::size_t
-    ahead_at(std::size_t position, std::size_t own, const line& of) const;
+    std::size_t estimate_ahead(
+        std::size_t position,
+        std::size_t own_count,
+        const caller_queue& requester_queue) const;
     void forget_idle();
 
-    std::map<caller_number, line> lines;
+    std::map<caller_number, caller_queue> caller_queues;
     std::set<std::pair<std::uint64_t, caller_number>> active;
     std::uint64_t virtual_time = 0;
     std::uint64_t active_weight = 0;
--- a/src/core/request/circuit_breaker.cpp
+++ b/src/core/request/circuit_breaker.cpp
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration first_pause = 100ms;
-constexpr duration longest_pause = 1s;
+constexpr duration min_probe_interval = 100ms;
+constexpr duration max_probe_interval = 1s;
 
 /// Longer than it takes for a lost replica to leave the routing table, which is
 /// two reads of the VM list and one log record. If a server is unreachable for
@@ -20,31 +20,32 @@
 
 } // namespace
 
-bool circuit_breaker::failed(instant now)
+bool circuit_breaker::record_failure(instant now)
 {
-    if (!this->since)
+    if (!this->open_since)
     {
-        this->since = now;
-        this->pause = first_pause;
-        this->retry_at = now + this->pause;
+        this->open_since = now;
+        this->probe_interval = min_probe_interval;
+        this->next_probe = now + this->probe_interval;
     }
     else if (this->probing)
     {
-        this->pause = std::min(this->pause * 2, longest_pause);
-        this->retry_at = now + this->pause;
+        this->probe_interval =
+            std::min(this->probe_interval * 2, max_probe_interval);
+        this->next_probe = now + this->probe_interval;
     }
     this->probing = false;
-    return now - *this->since < recovery_window;
+    return now - *this->open_since < recovery_window;
 }
 
 bool circuit_breaker::allows(instant now) const
 {
-    return !this->since || now >= this->retry_at;
+    return !this->open_since || now >= this->next_probe;
 }
 
-void circuit_breaker::granted(instant now)
+void circuit_breaker::record_grant(instant now)
 {
-    if (!this->since)
+    if (!this->open_since)
     {
         return;
     }
@@ -54,18 +55,18 @@
         return;
     }
     this->probing = true;
-    this->retry_at = now + this->pause;
+    this->next_probe = now + this->probe_interval;
 }
 
 void circuit_breaker::close()
 {
-    this->since.reset();
+    this->open_since.reset();
     this->probing = false;
 }
 
-std::optional<instant> circuit_breaker::opens_at() const
+std::optional<instant> circuit_breaker::next_probe_at() const
 {
-    return this->since ? std::optional(this->retry_at) : std::nullopt;
+    return this->open_since ? std::optional(this->next_probe) : std::nullopt;
 }
 
 } // namespace roseworks::detail
--- a/src/core/request/circuit_breaker.hpp
+++ b/src/core/request/circuit_breaker.hpp
@@ -27,29 +27,30 @@
                 first failure since the breaker was closed is less than
                 `recovery_window` ago.
     */
-    bool failed(instant now);
+    bool record_failure(instant now);
 
     bool is_open() const
     {
-        return this->since.has_value();
+        return this->open_since.has_value();
     }
 
     /// @return Whether a request may be granted.
     bool allows(instant now) const;
 
     /// Records that a request was granted.
-    void granted(instant now);
+    void record_grant(instant now);
 
     /// Closes the breaker. Called when a server answers or a new one is listed.
     void close();
 
     /// @return When the next request may be granted; empty while closed.
-    std::optional<instant> opens_at() const;
+    std::optional<instant> next_probe_at() const;
 
 private:
-    std::optional<instant> since; ///< time of the first failure; empty: closed
-    instant retry_at;
-    duration pause{};
+    std::optional<instant>
+        open_since; ///< time of the first failure; empty: closed
+    instant next_probe;
+    duration probe_interval{};
     bool probing = false; ///< a probe was let through and hasn't failed yet
 };
 
--- a/src/core/request/crash_count.cpp
+++ b/src/core/request/crash_count.cpp
@@ -5,19 +5,19 @@
 namespace roseworks::detail
 {
 
-bool crash_count::broke(engine_id engine, std::string_view address)
+bool crash_count::record_break(engine_id engine, std::string_view address)
 {
     const auto known = this->find(engine, address);
     if (known != this->servers.end())
     {
-        ++known->breaks;
+        ++known->broken_connections;
         return false;
     }
     this->servers.push_back({engine, std::string(address), 1});
     return true;
 }
 
-bool crash_count::examined(
+bool crash_count::record_finding(
     engine_id engine, std::string_view address, crash_finding finding)
 {
     const auto known = this->find(engine, address);
@@ -36,14 +36,14 @@
 std::uint32_t crash_count::total() const
 {
     std::uint32_t sum = 0;
-    for (const server& one : this->servers)
+    for (const server& candidate : this->servers)
     {
-        sum += one.breaks;
+        sum += candidate.broken_connections;
     }
     return sum;
 }
 
-bool crash_count::settled() const
+bool crash_count::all_examined() const
 {
     return std::ranges::all_of(this->servers, &server::examined);
 }
@@ -53,9 +53,9 @@
 {
     return std::ranges::find_if(
         this->servers,
-        [&](const server& one)
+        [&](const server& candidate)
         {
-            return one.engine == engine && one.address == address;
+            return candidate.engine == engine && candidate.address == address;
         });
 }
 
--- a/src/core/request/crash_count.hpp
+++ b/src/core/request/crash_count.hpp
@@ -24,25 +24,25 @@
     /// Counts a broken connection.
     /// @return Whether the server must be examined. False if an earlier break
     ///         of the same server is already counted.
-    bool broke(engine_id engine, std::string_view address);
+    bool record_break(engine_id engine, std::string_view address);
 
     /// Records the result of examining a server.
     /// @return Whether broken connections to that server were counted.
-    bool
-    examined(engine_id engine, std::string_view address, crash_finding finding);
+    bool record_finding(
+        engine_id engine, std::string_view address, crash_finding finding);
 
     /// @return Number of broken connections that count as crashes.
     std::uint32_t total() const;
 
     /// @return Whether all servers with counted breaks were examined.
-    bool settled() const;
+    bool all_examined() const;
 
 private:
     struct server
     {
         engine_id engine;
         std::string address;
-        std::uint32_t breaks = 0;
+        std::uint32_t broken_connections = 0;
         bool examined = false;
     };
 
--- a/src/core/request/crash_ledger.cpp
+++ b/src/core/request/crash_ledger.cpp
@@ -12,49 +12,56 @@
     fingerprint request, std::string_view server, instant now)
 {
     this->unconfirmed.push_back({request, std::string(server), now});
-    while (this->unconfirmed.size() > this->settings.most_requests)
+    while (this->unconfirmed.size() > this->settings.max_unconfirmed)
         this->unconfirmed.pop_front();
 }
 
 bool crash_ledger::server_lost(std::string_view server, instant now)
 {
-    bool news = false;
-    for (const broken& one : this->unconfirmed)
+    bool newly_blocked = false;
+    for (const broken_connection& connection : this->unconfirmed)
     {
-        const bool in_time = now - one.when <= this->settings.confirmation;
-        if (one.server != server || !in_time)
+        const bool in_time =
+            now - connection.broken_at <= this->settings.confirmation_window;
+        if (connection.server != server || !in_time)
             continue;
-        record& of = this->records[one.request];
-        of.crashed.insert(one.server);
-        of.last = now;
-        const bool enough = of.crashed.size() >= this->settings.most_crashes;
-        news = (enough && this->blocked_now.insert(one.request).second) || news;
+        crash_history& history = this->histories[connection.request];
+        history.crashed_servers.insert(connection.server);
+        history.last_crash = now;
+        const bool enough =
+            history.crashed_servers.size() >= this->settings.block_threshold;
+        newly_blocked =
+            (enough &&
+             this->blocked_requests.insert(connection.request).second) ||
+            newly_blocked;
     }
     std::erase_if(
         this->unconfirmed,
-        [server](const broken& one)
+        [server](const broken_connection& connection)
         {
-            return one.server == server;
+            return connection.server == server;
         });
-    return news;
+    return newly_blocked;
 }
 
 bool crash_ledger::tick(instant now)
 {
     while (!this->unconfirmed.empty() &&
-           now - this->unconfirmed.front().when > this->settings.confirmation)
+           now - this->unconfirmed.front().broken_at >
+               this->settings.confirmation_window)
         this->unconfirmed.pop_front();
-    bool freed = false;
+    bool unblocked = false;
     std::erase_if(
-        this->records,
+        this->histories,
         [&](const auto& entry)
         {
-            if (now - entry.second.last <= this->settings.remembered)
+            if (now - entry.second.last_crash <= this->settings.crash_lifetime)
                 return false;
-            freed = this->blocked_now.erase(entry.first) != 0 || freed;
+            unblocked =
+                this->blocked_requests.erase(entry.first) != 0 || unblocked;
             return true;
         });
-    return freed;
+    return unblocked;
 }
 
 } // namespace roseworks
--- a/src/core/request/crash_ledger.hpp
+++ b/src/core/request/crash_ledger.hpp
@@ -35,14 +35,14 @@
         /// A request that crashed this many servers is blocked. One crash
         /// proves little, because a few dozen requests run on a server when it
         /// crashes.
-        std::size_t most_crashes = 2;
+        std::size_t block_threshold = 2;
         /// A server that is lost within this time after a broken connection
         /// counts as crashed. Covers three heartbeats of the registry and the
         /// start of the server.
-        duration confirmation = std::chrono::seconds(8);
+        duration confirmation_window = std::chrono::seconds(8);
         /// How long a request's crashes are remembered after the last one.
-        duration remembered = std::chrono::seconds(60);
-        std::size_t most_requests = 4096;
+        duration crash_lifetime = std::chrono::seconds(60);
+        std::size_t max_unconfirmed = 4096;
     };
 
     explicit crash_ledger(options settings);
@@ -60,27 +60,27 @@
 
     const std::unordered_set<fingerprint>& blocked() const
     {
-        return this->blocked_now;
+        return this->blocked_requests;
     }
 
 private:
-    struct broken
+    struct broken_connection
     {
         fingerprint request;
         std::string server;
-        instant when;
+        instant broken_at;
     };
 
-    struct record
+    struct crash_history
     {
-        std::set<std::string> crashed;
-        instant last;
+        std::set<std::string> crashed_servers;
+        instant last_crash;
     };
 
     options settings;
-    std::deque<broken> unconfirmed; ///< oldest first
-    std::unordered_map<fingerprint, record> records;
-    std::unordered_set<fingerprint> blocked_now;
+    std::deque<broken_connection> unconfirmed; ///< oldest first
+    std::unordered_map<fingerprint, crash_history> histories;
+    std::unordered_set<fingerprint> blocked_requests;
 };
 
 } // namespace roseworks
--- a/src/core/request/dispatcher_finish.cpp
+++ b/src/core/request/dispatcher_finish.cpp
@@ -14,9 +14,9 @@
 
 /// A request with this many crashes, as counted by `crash_count`, is not sent
 /// again.
-constexpr std::uint32_t crash_limit = 2;
+constexpr std::uint32_t max_crashes = 2;
 
-constexpr duration block_retry = std::chrono::seconds(60);
+constexpr duration blocked_retry_after = std::chrono::seconds(60);
 
 bool is_not_run(end_kind how)
 {
@@ -25,7 +25,7 @@
 
 /// @return Whether an answer that had started was cut by the request's own
 ///         deadline. This is not a failure of the backend server.
-bool ran_out_of_time(
+bool cut_by_own_deadline(
     const detail::queue_item& item, const attempt_result& result, instant now)
 {
     return result.how == end_kind::no_progress && result.answer_started &&
@@ -48,7 +48,8 @@
 dispatcher::impl::finished(ticket id, const attempt_result& result, instant now)
 {
     const auto found = this->requests.find(id);
-    if (found == this->requests.end() || found->second.at != stage::granted)
+    if (found == this->requests.end() ||
+        found->second.current_stage != stage::granted)
     {
         // No attempt of this request is known here, so `not_run` can't be
         // guaranteed.
@@ -57,8 +58,8 @@
     }
 
     pending& request = found->second;
-    detail::target& where = *request.where;
-    detail::backend* used = where.find(request.replica, request.address);
+    detail::target& destination = *request.destination;
+    detail::backend* used = destination.find(request.replica, request.address);
     finish outcome;
     if (result.how == end_kind::answered)
     {
@@ -68,45 +69,45 @@
         }
         if (!request.resumed)
         {
-            where.estimator.served(
+            destination.estimator.record_answer(
                 result.total,
                 result.first_byte,
                 request.info.prompt_bytes,
                 result.tokens,
                 now);
         }
-        where.breaker.close();
-        where.budget.deposit(now);
-        where.resume_budget.deposit(now);
+        destination.breaker.close();
+        destination.budget.deposit(now);
+        destination.resume_budget.deposit(now);
         this->release_slot(request);
-        outcome = this->end(id, {});
+        outcome = this->finalize(id, {});
     }
     else if (result.how == end_kind::caller_left)
     {
         this->release_slot(request);
-        outcome =
-            this->end(id, {true, verdict::may_have_run, refusal_reason::none});
+        outcome = this->finalize(
+            id, {true, verdict::may_have_run, refusal_reason::none});
     }
     else
     {
         // A run that was cancelled, or cut by its own deadline, is not a
         // failure of its server.
         const bool stopped = result.how == end_kind::stopped ||
-                             ran_out_of_time(request.item, result, now);
+                             cut_by_own_deadline(request.item, result, now);
         if (used != nullptr && !stopped)
         {
             used->health.failed(now);
         }
-        outcome = this->failed(request, result, now);
+        outcome = this->attempt_failed(request, result, now);
     }
 
-    where.last_used = now;
-    this->pump(where, now);
-    this->ask_for_replicas(where, now);
+    destination.last_used = now;
+    this->grant_waiting(destination, now);
+    this->request_replicas(destination, now);
     return outcome;
 }
 
-void dispatcher::impl::note_crash(
+void dispatcher::impl::record_crash(
     pending& request, engine_id engine, bool resumable)
 {
     // A request whose stream can be resumed is the least likely cause of the
@@ -115,30 +116,30 @@
     request.suspect = request.suspect || !resumable;
     // A reused connection to a server that died breaks as well. Both breaks
     // are one crash.
-    if (request.crashes.broke(engine, request.address))
+    if (request.crashes.record_break(engine, request.address))
     {
         this->commands.emplace_back(crash_seen{
             request.info.content, engine, request.address, request.item.id});
     }
 }
 
-void dispatcher::impl::note_failure(
+void dispatcher::impl::update_after_failure(
     pending& request, const attempt_result& result)
 {
     if (result.how == end_kind::broken && request.info.content)
     {
         const detail::backend* used =
-            request.where->find(request.replica, request.address);
+            request.destination->find(request.replica, request.address);
         const engine_id engine =
             used == nullptr ? engine_id{} : used->where.engine;
-        this->note_crash(request, engine, result.resumable);
+        this->record_crash(request, engine, result.resumable);
     }
-    request.failure = reason_of(result);
+    request.last_failure = reason_of(result);
     request.resumed = request.resumed || result.resumable;
     if (result.resumable && result.tokens > 0)
     {
         // The caller received new tokens, so earlier attempts no longer count.
-        request.fruitless = 1;
+        request.attempts_without_progress = 1;
         request.tried.clear();
     }
 }
@@ -147,87 +148,94 @@
     const pending& request, const attempt_result& result) const
 {
     const bool not_run = is_not_run(result.how) && !result.answer_started;
-    const bool whole_or_resumed = !result.answer_started || result.resumable;
-    const bool too_many_crashes =
-        request.crashes.total() >= crash_limit && request.crashes.settled();
-    return whole_or_resumed && (not_run || request.info.repeatable) &&
-           request.fruitless < this->settings.max_attempts && !too_many_crashes;
+    const bool can_continue = !result.answer_started || result.resumable;
+    const bool too_many_crashes = request.crashes.total() >= max_crashes &&
+                                  request.crashes.all_examined();
+    return can_continue && (not_run || request.info.repeatable) &&
+           request.attempts_without_progress < this->settings.max_attempts &&
+           !too_many_crashes;
 }
 
-dispatcher::finish dispatcher::impl::failed(
+dispatcher::finish dispatcher::impl::attempt_failed(
     pending& request, const attempt_result& result, instant now)
 {
     const ticket id = request.item.id;
     const bool not_run = is_not_run(result.how) && !result.answer_started;
     request.may_have_run = request.may_have_run || !not_run;
-    this->note_failure(request, result);
+    this->update_after_failure(request, result);
     this->release_slot(request);
 
     const verdict outcome =
         request.may_have_run ? verdict::may_have_run : verdict::not_run;
-    const bool another_try = this->may_retry(request, result);
+    const bool retry = this->may_retry(request, result);
     const bool recoverable =
         result.how == end_kind::not_sent && this->may_recover(request, now);
-    const bool given_up = !another_try || request.where->breaker.is_open();
-    if (recoverable && given_up)
+    const bool cannot_retry = !retry || request.destination->breaker.is_open();
+    if (recoverable && cannot_retry)
     {
         return this->wait_for_recovery(request, now);
     }
-    if (!another_try)
+    if (!retry)
     {
-        const duration back = this->expected_back(request, now);
-        return this->end(id, {true, outcome, request.failure, back});
+        const duration retry_delay =
+            this->retry_delay_after_failure(request, now);
+        return this->finalize(
+            id, {true, outcome, request.last_failure, retry_delay});
     }
     if (this->draining)
     {
-        return this->end(id, {true, outcome, refusal_reason::draining});
+        return this->finalize(id, {true, outcome, refusal_reason::draining});
     }
     if (now >= request.item.deadline)
     {
-        return this->end(id, {true, outcome, refusal_reason::deadline});
+        return this->finalize(id, {true, outcome, refusal_reason::deadline});
     }
     if (request.info.content && this->table->is_blocked(request.info.content))
     {
-        return this->end(
-            id, {true, outcome, refusal_reason::blocked, block_retry});
+        return this->finalize(
+            id, {true, outcome, refusal_reason::blocked, blocked_retry_after});
     }
-    const bool spares =
+    const bool leave_reserve =
         result.resumable && request.item.level != priority::urgent;
-    detail::retry_budget& budget =
-        result.resumable ? request.where->resume_budget : request.where->budget;
-    if (!budget.withdraw(now, spares))
+    detail::retry_budget& budget = result.resumable
+                                       ? request.destination->resume_budget
+                                       : request.destination->budget;
+    if (!budget.withdraw(now, leave_reserve))
     {
         if (recoverable)
         {
             return this->wait_for_recovery(request, now);
         }
-        const duration back = this->expected_back(request, now);
-        return this->end(
-            id, {true, outcome, refusal_reason::retries_exhausted, back});
+        const duration retry_delay =
+            this->retry_delay_after_failure(request, now);
+        return this->finalize(
+            id,
+            {true, outcome, refusal_reason::retries_exhausted, retry_delay});
     }
 
     request.tried.push_back(request.server);
-    request.awaits_findings = request.crashes.total() >= crash_limit;
+    request.awaits_crash_findings = request.crashes.total() >= max_crashes;
     this->enqueue(request);
-    this->due_by(
+    this->schedule_tick_for_queued(
         std::min(request.item.deadline, now + this->settings.demand_interval));
-    return {false, outcome, request.failure};
+    return {false, outcome, request.last_failure};
 }
 
 bool dispatcher::impl::may_recover(const pending& request, instant now) const
 {
-    const detail::target& where = *request.where;
-    const bool loadable = !where.is_service && where.max_replicas != 0 &&
+    const detail::target& destination = *request.destination;
+    const bool loadable = !destination.is_service &&
+                          destination.max_replicas != 0 &&
                           this->table->log_available();
     if (!loadable || request.suspect || this->draining ||
         now >= request.item.deadline)
     {
         return false;
     }
-    const auto usable = detail::balancer::usable(where.backends, now);
+    const auto usable = detail::balancer::usable(destination.backends, now);
     const auto is_untried = [&](std::size_t i)
     {
-        const detail::server_key server = where.backends[i].server;
+        const detail::server_key server = destination.backends[i].server;
         return server != request.server &&
                std::ranges::find(request.tried, server) == request.tried.end();
     };
@@ -237,80 +245,87 @@
 dispatcher::finish
 dispatcher::impl::wait_for_recovery(pending& request, instant now)
 {
-    detail::target& where = *request.where;
-    const refusal_reason reason = request.failure;
-    if (where.breaker.failed(now))
+    detail::target& destination = *request.destination;
+    const refusal_reason reason = request.last_failure;
+    if (destination.breaker.record_failure(now))
     {
         // This attempt reached no server, so the attempt limit starts again.
-        request.fruitless = 0;
+        request.attempts_without_progress = 0;
         request.tried.clear();
         this->enqueue(request);
-        this->due_by(
-            std::min(request.item.deadline, *where.breaker.opens_at()));
+        this->schedule_tick_for_queued(std::min(
+            request.item.deadline, *destination.breaker.next_probe_at()));
         const verdict outcome =
             request.may_have_run ? verdict::may_have_run : verdict::not_run;
         return {false, outcome, reason};
     }
-    const duration back = this->expected_back(request, now);
-    this->refuse_all(where, reason, back);
+    const duration retry_delay = this->retry_delay_after_failure(request, now);
+    this->refuse_all(destination, reason, retry_delay);
     const verdict outcome =
         request.may_have_run ? verdict::may_have_run : verdict::not_run;
-    return this->end(request.item.id, {true, outcome, reason, back});
+    return this->finalize(
+        request.item.id, {true, outcome, reason, retry_delay});
 }
 
-duration dispatcher::impl::expected_back(const pending& request, instant now)
+duration
+dispatcher::impl::retry_delay_after_failure(const pending& request, instant now)
 {
-    const detail::target& where = *request.where;
-    const auto usable = detail::balancer::usable(where.backends, now);
-    const auto is_another = [&](std::size_t i)
+    const detail::target& destination = *request.destination;
+    const auto usable = detail::balancer::usable(destination.backends, now);
+    const auto is_other_server = [&](std::size_t i)
     {
-        return where.backends[i].server != request.server;
+        return destination.backends[i].server != request.server;
     };
-    if (std::ranges::any_of(usable, is_another))
+    if (std::ranges::any_of(usable, is_other_server))
     {
-        const std::size_t slots = where.slots(usable, false, this->loads, now);
-        return this->spread(
-            where.estimator.queue_wait(where.waiting(), slots, now));
+        const std::size_t slots =
+            destination.slots(usable, false, this->loads, now);
+        return this->add_jitter(destination.estimator.queue_wait(
+            destination.waiting(), slots, now));
     }
     // The only replica must be loaded again, on this engine or another.
-    const bool loadable = !where.is_service && where.max_replicas != 0;
-    return loadable ? this->spread(this->remaining_cold(where, now))
-                    : duration::zero();
+    const bool loadable =
+        !destination.is_service && destination.max_replicas != 0;
+    return loadable
+               ? this->add_jitter(this->remaining_cold_start(destination, now))
+               : duration::zero();
 }
 
 void dispatcher::impl::crash_examined(
-    const crash_seen& what, crash_finding finding, instant now)
+    const crash_seen& crash, crash_finding finding, instant now)
 {
-    const auto found = this->requests.find(what.under);
+    const auto found = this->requests.find(crash.under);
     if (found == this->requests.end())
     {
         return;
     }
     pending& request = found->second;
-    if (!request.crashes.examined(what.engine, what.address, finding))
+    if (!request.crashes.record_finding(crash.engine, crash.address, finding))
     {
         return;
     }
     const std::uint32_t crashes = request.crashes.total();
     request.suspect = request.suspect && crashes != 0;
-    if (!request.awaits_findings)
+    if (!request.awaits_crash_findings)
     {
         return;
     }
-    detail::target& where = *request.where;
-    if (crashes < crash_limit)
+    detail::target& destination = *request.destination;
+    if (crashes < max_crashes)
     {
         this->dequeue(request);
-        request.awaits_findings = false;
+        request.awaits_crash_findings = false;
         this->enqueue(request);
     }
-    else if (request.crashes.settled())
+    else if (request.crashes.all_examined())
     {
         this->refuse(
-            what.under, request.failure, this->expected_back(request, now));
+            crash.under,
+            request.last_failure,
+            this->retry_delay_after_failure(request, now));
     }
-    this->pump(where, now);
-    this->ask_for_replicas(where, now);
+    this->grant_waiting(destination, now);
+    this->request_replicas(destination, now);
 }
 
 void dispatcher::impl::abandon(ticket id, instant now)
@@ -321,8 +336,8 @@
         return;
     }
     pending& request = found->second;
-    detail::target& where = *request.where;
-    if (request.at == stage::granted)
+    detail::target& destination = *request.destination;
+    if (request.current_stage == stage::granted)
     {
         this->release_slot(request);
     }
@@ -331,35 +346,36 @@
         this->dequeue(request);
     }
     this->forget(id);
-    this->pump(where, now);
+    this->grant_waiting(destination, now);
 }
 
 void dispatcher::impl::release_slot(pending& request)
 {
-    detail::target& where = *request.where;
-    if (detail::backend* used = where.find(request.replica, request.address))
+    detail::target& destination = *request.destination;
+    if (detail::backend* used =
+            destination.find(request.replica, request.address))
     {
         --used->in_flight;
     }
-    --where.in_flight;
-    where.long_in_flight -= request.item.long_prompt ? 1 : 0;
-    where.drop_unlisted();
+    --destination.in_flight;
+    destination.long_in_flight -= request.item.long_prompt ? 1 : 0;
+    destination.drop_unlisted();
 
     detail::server_state& server = this->loads.at(request.server);
     --server.own;
     if (server.exclusive == request.item.id)
     {
         server.exclusive = ticket{};
-        --where.suspects_running;
-        this->shared_server_free = true;
+        --destination.suspects_running;
+        this->shared_server_freed = true;
     }
     else if (server.held && server.own == 0)
     {
-        this->shared_server_free = true;
+        this->shared_server_freed = true;
     }
 }
 
-dispatcher::finish dispatcher::impl::end(ticket id, finish outcome)
+dispatcher::finish dispatcher::impl::finalize(ticket id, finish outcome)
 {
     this->forget(id);
     return outcome;
@@ -367,43 +383,43 @@
 
 void dispatcher::impl::enqueue(pending& request)
 {
-    detail::target& where = *request.where;
-    if (request.suspect || request.awaits_findings)
+    detail::target& destination = *request.destination;
+    if (request.suspect || request.awaits_crash_findings)
     {
-        request.at = stage::suspect;
-        where.suspects.push_back(request.item.id);
+        request.current_stage = stage::suspect;
+        destination.suspects.push_back(request.item.id);
     }
     else
     {
-        request.at = stage::queued;
-        where.queue.push(request.item);
+        request.current_stage = stage::queued;
+        destination.queue.push(request.item);
     }
     ++this->queued_count;
     this->queued_bytes[static_cast<std::size_t>(request.item.level)] +=
         request.info.held_bytes;
-    this->note_waiting(where);
+    this->update_waiting_set(destination);
 }
 
 void dispatcher::impl::dequeue(pending& request)
 {
-    detail::target& where = *request.where;
-    if (request.at == stage::suspect)
+    detail::target& destination = *request.destination;
+    if (request.current_stage == stage::suspect)
     {
-        if (request.hold)
+        if (request.reserved_server)
         {
-            this->release_hold(request.item.id);
-            this->shared_server_free = true;
+            this->release_reservation(request.item.id);
+            this->shared_server_freed = true;
         }
-        std::erase(where.suspects, request.item.id);
+        std::erase(destination.suspects, request.item.id);
     }
     else
     {
-        where.queue.erase(request.item.id);
+        destination.queue.erase(request.item.id);
     }
     --this->queued_count;
     this->queued_bytes[static_cast<std::size_t>(request.item.level)] -=
         request.info.held_bytes;
-    this->note_waiting(where);
+    this->update_waiting_set(destination);
 }
 
 void dispatcher::impl::forget(ticket id)
--- a/src/core/request/dispatcher_impl.hpp
+++ b/src/core/request/dispatcher_impl.hpp
@@ -29,7 +29,7 @@
     finish finished(ticket id, const attempt_result& result, instant now);
     void abandon(ticket id, instant now);
     void
-    crash_examined(const crash_seen& what, crash_finding finding, instant now);
+    crash_examined(const crash_seen& crash, crash_finding finding, instant now);
 
     // Changes to the environment.
     void table_changed(routing_table_ptr next, instant now);
@@ -69,29 +69,29 @@
     {
         request_info info;
         detail::queue_item item;
-        detail::target* where = nullptr;
-        stage at = stage::queued;
+        detail::target* destination = nullptr;
+        stage current_stage = stage::queued;
         /// Must run alone on its server: this router saw it break a connection,
         /// or the routing table lists it as suspect.
         bool suspect = false;
         bool may_have_run = false; ///< an attempt may have reached a server
         bool resumed = false;      ///< its stream was continued after a cut
         /// Not granted until all its crashes have been examined.
-        bool awaits_findings = false;
+        bool awaits_crash_findings = false;
         std::uint32_t attempts = 0; ///< granted so far
         /// Attempts granted since the caller last received tokens.
-        std::uint32_t fruitless = 0;
+        std::uint32_t attempts_without_progress = 0;
         detail::crash_count crashes;
-        refusal_reason failure = refusal_reason::none; ///< of the last attempt
+        refusal_reason last_failure = refusal_reason::none;
         replica_id replica;          ///< of the running attempt
         std::string address;         ///< of the running attempt
         detail::server_key server{}; ///< of the running attempt
         /// Server that is kept idle for this suspect request.
-        std::optional<detail::server_key> hold;
+        std::optional<detail::server_key> reserved_server;
         std::vector<detail::server_key> tried; ///< servers of failed attempts
         /// When the request stops waiting for the answer to the permit request
         /// that was sent for it. Empty if none was sent.
-        std::optional<instant> permit_awaited;
+        std::optional<instant> permit_wait_until;
     };
 
     using targets =
@@ -107,84 +107,92 @@
     };
 
     // dispatcher_submit.cpp
-    refusal_reason check_target(const detail::target& where, instant now) const;
-    detail::target* find_target(const request_info& info, instant now);
+    refusal_reason
+    check_target(const detail::target& destination, instant now) const;
+    detail::target* find_or_add_target(const request_info& info, instant now);
     detail::queue_item make_item(
         ticket id,
         const request_info& info,
         detail::caller_number caller,
         const caller_spec& spec,
         instant now) const;
-    void admit(ticket id, instant now);
-    bool make_room(const request_info& info, priority level);
-    void trim(ticket newest);
+    void start_or_queue(ticket id, instant now);
+    bool free_held_bytes(const request_info& info, priority level);
+    void enforce_queue_limits(ticket newest);
     std::optional<detail::queue_item>
-    least_wanted(const detail::target* only, priority below) const;
-    void turn_away(ticket id, refusal_reason reason, duration retry_after);
+    displacement_candidate(const detail::target* only, priority below) const;
+    void
+    refuse_on_arrival(ticket id, refusal_reason reason, duration retry_after);
     void purge(instant now);
 
     // dispatcher_pump.cpp
-    void refresh(detail::target& where, instant now);
-    void pump(detail::target& where, instant now);
+    void refresh(detail::target& destination, instant now);
+    void grant_waiting(detail::target& destination, instant now);
     bool grant_next(
-        detail::target& where, std::vector<detail::queue_item>& aside, instant);
+        detail::target& destination,
+        std::vector<detail::queue_item>& skipped,
+        instant);
     void grant_to(pending& request, detail::backend& chosen, bool alone);
-    void pump_one(detail::target& where, instant now);
-    void pump_if_freed(instant now);
-    void place_suspect(detail::target& where, instant now);
-    detail::backend*
-    suspect_backend(detail::target& where, const pending& request, instant now);
-    void release_hold(ticket id);
-    void note_waiting(detail::target& where);
+    void grant_waiting_of(detail::target& destination, instant now);
+    void grant_waiting_on_freed_servers(instant now);
+    void grant_suspects(detail::target& destination, instant now);
+    detail::backend* choose_suspect_backend(
+        detail::target& destination, const pending& request, instant now);
+    void release_reservation(ticket id);
+    void update_waiting_set(detail::target& destination);
 
     // dispatcher_permits.cpp
     /// Requests a permit from each rate-limited server of a target that has
     /// requests waiting and no free slot.
-    void ask_for_permits(const detail::target& where, instant now);
+    void request_permits(const detail::target& destination, instant now);
     /// @return Whether a request waits for the answer to a permit request even
     ///         though an unlimited server is available. Without this wait,
     ///         limited servers would get no requests while unlimited ones
     ///         exist, and the end of a limit would go unnoticed.
     bool awaits_permit(
-        const detail::target& where,
+        const detail::target& destination,
         pending& request,
         std::span<std::size_t const> usable,
         instant now);
     /// @return Targets that use a server and have requests waiting, the most
     ///         urgent first.
-    std::vector<detail::target*> waiting_at(detail::server_key server) const;
+    std::vector<detail::target*>
+    targets_waiting_for(detail::server_key server) const;
     /// @return Number of requests of other targets that wait for these servers.
-    std::size_t waiting_beside(
-        const detail::target& where, std::span<std::size_t const> usable) const;
-    void ask_for_permit(const detail::backend& one, bool waits, instant now);
+    std::size_t competing_requests(
+        const detail::target& destination,
+        std::span<std::size_t const> usable) const;
+    void
+    request_permit(const detail::backend& candidate, bool waits, instant now);
     /// How soon requests of a target can start if all its servers are
     /// rate-limited.
-    struct limited_outlook
+    struct rate_limit_forecast
     {
-        duration next{}; ///< until the first request can start
+        duration until_first{}; ///< until the first request can start
         /// Permits per second that this router gets; 0: not rate-limited.
-        double permits_a_second = 0;
+        double permits_per_second = 0;
         /// Requests of other targets expected to start first.
-        std::size_t beside = 0;
+        std::size_t competing = 0;
 
         duration wait(std::size_t ahead) const;
     };
 
-    limited_outlook limited_outlook_of(
-        const detail::target& where,
+    rate_limit_forecast forecast_rate_limit(
+        const detail::target& destination,
         std::span<std::size_t const> usable,
         instant now) const;
 
     // dispatcher_finish.cpp
     void release_slot(pending& request);
-    void note_crash(pending& request, engine_id engine, bool resumable);
-    void note_failure(pending& request, const attempt_result& result);
+    void record_crash(pending& request, engine_id engine, bool resumable);
+    void update_after_failure(pending& request, const attempt_result& result);
     bool may_retry(const pending& request, const attempt_result& result) const;
     bool may_recover(const pending& request, instant now) const;
     finish wait_for_recovery(pending& request, instant now);
-    duration expected_back(const pending& request, instant now);
-    finish failed(pending& request, const attempt_result& result, instant now);
-    finish end(ticket id, finish outcome);
+    duration retry_delay_after_failure(const pending& request, instant now);
+    finish
+    attempt_failed(pending& request, const attempt_result& result, instant now);
+    finish finalize(ticket id, finish outcome);
     void enqueue(pending& request);
     void dequeue(pending& request);
     void forget(ticket id);
@@ -192,39 +200,41 @@
 
     // dispatcher_tick.cpp
     duration predicted_wait(
-        const detail::target& where,
+        const detail::target& destination,
         const detail::queue_item& item,
         std::size_t ahead,
         std::span<std::size_t const> usable,
-        const limited_outlook& limits,
+        const rate_limit_forecast& forecast,
         instant now) const;
-    duration remaining_cold(const detail::target& where, instant now) const;
-    duration spread(duration value);
-    bool can_start(
-        const detail::target& where,
+    duration
+    remaining_cold_start(const detail::target& destination, instant now) const;
+    duration add_jitter(duration value);
+    bool can_meet_deadline(
+        const detail::target& destination,
         const detail::queue_item& item,
         duration wait,
         instant now) const;
-    void examine(detail::target& where, instant now);
-    void serve_waiting(detail::target& where, instant now);
-    void refuse_all(detail::target& where, refusal_reason, duration);
-    void ask_for_replicas(detail::target& where, instant now);
-    instant earliest_objective(const detail::target& where, instant now) const;
-    void send_demand(detail::target& where, instant now);
+    void refuse_late(detail::target& destination, instant now);
+    void update_waiting(detail::target& destination, instant now);
+    void refuse_all(detail::target& destination, refusal_reason, duration);
+    void request_replicas(detail::target& destination, instant now);
+    instant
+    earliest_objective(const detail::target& destination, instant now) const;
+    void send_demand(detail::target& destination, instant now);
     /// Schedules the tick for a request that was just queued. If it is the only
     /// queued request, the tick time left over from earlier requests is
     /// replaced, even if it is earlier.
-    void due_by(instant when);
+    void schedule_tick_for_queued(instant when);
     /// Moves the next tick forward to `when` if it is later than that.
-    void due_no_later(instant when);
+    void schedule_tick_by(instant when);
 
     options settings;
     routing_table_ptr table;
     std::uint64_t generation = 0;
     detail::caller_limits limits;
     detail::server_loads loads;
-    detail::prefix_map cached;
-    detail::balancer chooser;
+    detail::prefix_map prefix_caches;
+    detail::balancer replica_balancer;
     std::mt19937_64 random;
     targets servables;
     targets services;
@@ -232,17 +242,17 @@
     std::set<detail::target*, by_number> waiting;
     std::unordered_map<ticket, pending> requests;
     std::vector<dispatch_command> commands;
-    std::optional<instant> due;
+    std::optional<instant> next_tick_time;
     std::uint64_t last_ticket = 0;
     std::uint32_t last_target = 0;
-    std::size_t limited_servers = 0; ///< servers with a rate limit
+    std::size_t limited_server_count = 0; ///< servers with a rate limit
     std::size_t queued_count = 0;
     std::size_t held_bytes = 0;
     std::array<std::size_t, detail::class_count> queued_bytes{};
     instant last_purge;
     bool draining = false;
     /// A server became available that requests of other targets may wait for.
-    bool shared_server_free = false;
+    bool shared_server_freed = false;
 };
 
 } // namespace roseworks
--- a/src/core/request/dispatcher_permits.cpp
+++ b/src/core/request/dispatcher_permits.cpp
@@ -12,14 +12,14 @@
 
 /// How long a request that could use another server waits for the answer to a
 /// permit request. Covers a few round trips between two data centres.
-constexpr duration longest_permit_answer = std::chrono::milliseconds(30);
+constexpr duration permit_answer_timeout = std::chrono::milliseconds(30);
 
 /// @return Sort key: the best waiting class, then the earliest deadline.
-std::pair<priority, instant> urgency_of(const detail::target* where)
+std::pair<priority, instant> urgency_of(const detail::target* destination)
 {
     return {
-        where->queue.best_class().value_or(priority::batch),
-        where->queue.earliest_deadline().value_or(instant::max())};
+        destination->queue.best_class().value_or(priority::batch),
+        destination->queue.earliest_deadline().value_or(instant::max())};
 }
 
 } // namespace
@@ -28,11 +28,11 @@
     const server_place& server, double per_second, instant now)
 {
     detail::server_pace& pace = this->loads.at(detail::key_of(server)).pace;
-    this->limited_servers -= pace.is_limited() ? 1 : 0;
+    this->limited_server_count -= pace.is_limited() ? 1 : 0;
     pace.limit(per_second);
-    this->limited_servers += pace.is_limited() ? 1 : 0;
-    this->shared_server_free = true;
-    this->pump_if_freed(now);
+    this->limited_server_count += pace.is_limited() ? 1 : 0;
+    this->shared_server_freed = true;
+    this->grant_waiting_on_freed_servers(now);
 }
 
 void dispatcher::impl::permit_given(
@@ -40,52 +40,53 @@
 {
     const detail::server_key key = detail::key_of(server);
     this->loads.at(key).pace.allowed(from);
-    this->due_no_later(from);
+    this->schedule_tick_by(from);
     if (from > now)
     {
         return;
     }
-    for (detail::target* where : this->waiting_at(key))
+    for (detail::target* destination : this->targets_waiting_for(key))
     {
-        this->pump(*where, now);
+        this->grant_waiting(*destination, now);
     }
 }
 
 std::vector<detail::target*>
-dispatcher::impl::waiting_at(detail::server_key server) const
+dispatcher::impl::targets_waiting_for(detail::server_key server) const
 {
-    const auto is_there = [server](const detail::target* where)
+    const auto uses_server = [server](const detail::target* destination)
     {
         return std::ranges::any_of(
-            where->backends,
-            [server](const detail::backend& one)
+            destination->backends,
+            [server](const detail::backend& candidate)
             {
-                return one.server == server && one.listed;
+                return candidate.server == server && candidate.listed;
             });
     };
-    std::vector<detail::target*> there;
-    std::ranges::copy_if(this->waiting, std::back_inserter(there), is_there);
-    std::ranges::stable_sort(there, std::ranges::less(), urgency_of);
-    return there;
+    std::vector<detail::target*> found;
+    std::ranges::copy_if(this->waiting, std::back_inserter(found), uses_server);
+    std::ranges::stable_sort(found, std::ranges::less(), urgency_of);
+    return found;
 }
 
-std::size_t dispatcher::impl::waiting_beside(
-    const detail::target& where, std::span<std::size_t const> usable) const
+std::size_t dispatcher::impl::competing_requests(
+    const detail::target& destination,
+    std::span<std::size_t const> usable) const
 {
     std::set<const detail::target*, by_number> others;
     for (const std::size_t i : usable)
     {
-        for (const detail::target* one :
-             this->waiting_at(where.backends[i].server))
+        for (const detail::target* other :
+             this->targets_waiting_for(destination.backends[i].server))
         {
-            others.insert(one);
+            others.insert(other);
         }
     }
-    others.erase(&where);
+    others.erase(&destination);
     std::size_t count = 0;
-    for (const detail::target* one : others)
+    for (const detail::target* other : others)
     {
-        count += one->waiting();
+        count += other->waiting();
     }
     return count;
 }
@@ -94,9 +95,9 @@
     const server_place& server, duration retry_after, instant now)
 {
     this->loads.at(detail::key_of(server)).pace.refused(now + retry_after);
-    this->due_no_later(now + retry_after);
-    this->shared_server_free = true;
-    this->pump_if_freed(now);
+    this->schedule_tick_by(now + retry_after);
+    this->shared_server_freed = true;
+    this->grant_waiting_on_freed_servers(now);
 }
 
 bool dispatcher::impl::permit_withdrawn(const server_place& server)
@@ -104,121 +105,127 @@
     return this->loads.at(detail::key_of(server)).pace.withdraw();
 }
 
-void dispatcher::impl::ask_for_permit(
-    const detail::backend& one, bool waits, instant now)
+void dispatcher::impl::request_permit(
+    const detail::backend& candidate, bool waits, instant now)
 {
-    this->loads.at(one.server).pace.asked(waits, now);
-    this->commands.emplace_back(
-        permit_wanted{{one.where.engine, one.where.address}, waits});
+    this->loads.at(candidate.server).pace.asked(waits, now);
+    this->commands.emplace_back(permit_wanted{
+        {candidate.where.engine, candidate.where.address}, waits});
 }
 
-void dispatcher::impl::ask_for_permits(const detail::target& where, instant now)
+void dispatcher::impl::request_permits(
+    const detail::target& destination, instant now)
 {
-    if (this->limited_servers == 0 || where.waiting() == 0)
+    if (this->limited_server_count == 0 || destination.waiting() == 0)
     {
         return;
     }
-    const auto usable = detail::balancer::usable(where.backends, now);
+    const auto usable = detail::balancer::usable(destination.backends, now);
     const auto free = detail::balancer::slots(
-        where.backends, usable, where.max_streams, this->loads, now);
+        destination.backends,
+        usable,
+        destination.max_streams,
+        this->loads,
+        now);
     if (free.any)
     {
         return; // the requests wait for something other than a permit
     }
-    for (const detail::backend& one : where.backends)
+    for (const detail::backend& candidate : destination.backends)
     {
-        const detail::server_pace* pace = this->loads.pace_of(one.server);
-        if (pace == nullptr || !one.listed || one.leaving)
+        const detail::server_pace* pace = this->loads.pace_of(candidate.server);
+        if (pace == nullptr || !candidate.listed || candidate.leaving)
         {
             continue;
         }
         if (pace->must_ask(now))
         {
-            this->ask_for_permit(one, true, now);
+            this->request_permit(candidate, true, now);
         }
         const auto next = pace->changes_at();
         if (next && *next > now)
         {
-            this->due_no_later(*next);
+            this->schedule_tick_by(*next);
         }
     }
 }
 
 bool dispatcher::impl::awaits_permit(
-    const detail::target& where,
+    const detail::target& destination,
     pending& request,
     std::span<std::size_t const> usable,
     instant now)
 {
-    if (this->limited_servers == 0)
+    if (this->limited_server_count == 0)
     {
         return false;
     }
-    const bool is_asked = request.permit_awaited.has_value();
+    const bool is_asked = request.permit_wait_until.has_value();
     for (const std::size_t i : usable)
     {
-        const detail::backend& one = where.backends[i];
-        const detail::server_pace* pace = this->loads.pace_of(one.server);
+        const detail::backend& candidate = destination.backends[i];
+        const detail::server_pace* pace = this->loads.pace_of(candidate.server);
         if (pace == nullptr)
         {
             continue;
         }
         if (is_asked && pace->awaits_answer(now) &&
-            now < *request.permit_awaited)
+            now < *request.permit_wait_until)
         {
             return true;
         }
         if (!is_asked && pace->must_ask(now))
         {
-            this->ask_for_permit(one, false, now);
-            request.permit_awaited = now + longest_permit_answer;
-            this->due_no_later(*request.permit_awaited);
+            this->request_permit(candidate, false, now);
+            request.permit_wait_until = now + permit_answer_timeout;
+            this->schedule_tick_by(*request.permit_wait_until);
             return true;
         }
     }
     return false;
 }
 
-dispatcher::impl::limited_outlook dispatcher::impl::limited_outlook_of(
-    const detail::target& where,
+dispatcher::impl::rate_limit_forecast dispatcher::impl::forecast_rate_limit(
+    const detail::target& destination,
     std::span<std::size_t const> usable,
     instant now) const
 {
-    limited_outlook outlook;
-    if (this->limited_servers == 0)
+    rate_limit_forecast forecast;
+    if (this->limited_server_count == 0)
     {
-        return outlook;
+        return forecast;
     }
     std::optional<duration> next;
     for (const std::size_t i : usable)
     {
         const detail::server_pace* pace =
-            this->loads.pace_of(where.backends[i].server);
+            this->loads.pace_of(destination.backends[i].server);
         if (pace == nullptr || !pace->is_limited())
         {
             return {};
         }
         const std::chrono::duration<double> turn = pace->turn(now);
-        outlook.permits_a_second += 1 / turn.count();
-        const duration one = pace->next_in(now);
-        next = std::min(next.value_or(one), one);
+        forecast.permits_per_second += 1 / turn.count();
+        const duration until_permit = pace->next_in(now);
+        next = std::min(next.value_or(until_permit), until_permit);
     }
-    outlook.next = next.value_or(duration::zero());
+    forecast.until_first = next.value_or(duration::zero());
     // The order among the targets varies; on average half of the competing
     // requests start first.
-    outlook.beside = this->waiting_beside(where, usable) / 2;
-    return outlook;
+    forecast.competing = this->competing_requests(destination, usable) / 2;
+    return forecast;
 }
 
-duration dispatcher::impl::limited_outlook::wait(std::size_t ahead) const
+duration dispatcher::impl::rate_limit_forecast::wait(std::size_t ahead) const
 {
-    if (this->permits_a_second == 0)
+    if (this->permits_per_second == 0)
     {
         return duration::zero();
     }
     const std::chrono::duration<double> queue(
-        static_cast<double>(ahead + this->beside) / this->permits_a_second);
-    return this->next + std::chrono::duration_cast<duration>(queue);
+        static_cast<double>(ahead + this->competing) /
+        this->permits_per_second);
+    return this->until_first + std::chrono::duration_cast<duration>(queue);
 }
 
 } // namespace roseworks
--- a/src/core/request/dispatcher_pump.cpp
+++ b/src/core/request/dispatcher_pump.cpp
@@ -11,84 +11,95 @@
 
 /// Number of requests that may be skipped in one pass because they must wait
 /// for a permit or for a server that has no free slot.
-constexpr std::size_t passed_over_limit = 8;
+constexpr std::size_t max_skipped_requests = 8;
 
-constexpr duration block_retry = std::chrono::seconds(60);
+constexpr duration blocked_retry_after = std::chrono::seconds(60);
 
 /// A cold start is taken as a sample only if demand was sent within this time.
-constexpr duration demand_lapse = std::chrono::seconds(60);
+constexpr duration demand_timeout = std::chrono::seconds(60);
 
 } // namespace
 
-void dispatcher::impl::refresh(detail::target& where, instant now)
+void dispatcher::impl::refresh(detail::target& destination, instant now)
 {
-    if (where.generation == this->generation)
+    if (destination.generation == this->generation)
     {
         return;
     }
-    where.generation = this->generation;
-    where.refresh(*this->table, this->leaving);
+    destination.generation = this->generation;
+    destination.refresh(*this->table, this->leaving);
 
-    const bool ready = !detail::balancer::usable(where.backends, now).empty();
-    if (!ready || !where.cold_since)
+    const bool ready =
+        !detail::balancer::usable(destination.backends, now).empty();
+    if (!ready || !destination.cold_since)
     {
         return;
     }
-    if (where.last_demand && now - *where.last_demand <= demand_lapse)
+    if (destination.last_demand &&
+        now - *destination.last_demand <= demand_timeout)
     {
-        where.estimator.cold_start(now - *where.cold_since);
+        destination.estimator.record_cold_start(now - *destination.cold_since);
     }
-    where.cold_since.reset();
+    destination.cold_since.reset();
 }
 
-void dispatcher::impl::pump(detail::target& where, instant now)
+void dispatcher::impl::grant_waiting(detail::target& destination, instant now)
 {
-    this->pump_one(where, now);
-    this->pump_if_freed(now);
+    this->grant_waiting_of(destination, now);
+    this->grant_waiting_on_freed_servers(now);
 }
 
-void dispatcher::impl::pump_one(detail::target& where, instant now)
+void dispatcher::impl::grant_waiting_of(
+    detail::target& destination, instant now)
 {
-    this->refresh(where, now);
-    std::vector<detail::queue_item> aside;
-    while (aside.size() < passed_over_limit &&
-           this->grant_next(where, aside, now))
+    this->refresh(destination, now);
+    std::vector<detail::queue_item> skipped;
+    while (skipped.size() < max_skipped_requests &&
+           this->grant_next(destination, skipped, now))
     {
     }
-    for (const detail::queue_item& item : aside)
+    for (const detail::queue_item& item : skipped)
     {
-        where.queue.push(item);
+        destination.queue.push(item);
     }
-    this->place_suspect(where, now);
-    this->ask_for_permits(where, now);
-    this->note_waiting(where);
+    this->grant_suspects(destination, now);
+    this->request_permits(destination, now);
+    this->update_waiting_set(destination);
 }
 
 bool dispatcher::impl::grant_next(
-    detail::target& where, std::vector<detail::queue_item>& aside, instant now)
+    detail::target& destination,
+    std::vector<detail::queue_item>& skipped,
+    instant now)
 {
-    if (where.queue.empty())
+    if (destination.queue.empty())
     {
         return false;
     }
-    if (!where.breaker.allows(now))
+    if (!destination.breaker.allows(now))
     {
-        this->due_no_later(*where.breaker.opens_at());
+        this->schedule_tick_by(*destination.breaker.next_probe_at());
         return false;
     }
-    const auto usable = detail::balancer::usable(where.backends, now);
+    const auto usable = detail::balancer::usable(destination.backends, now);
     const auto free = detail::balancer::slots(
-        where.backends, usable, where.max_streams, this->loads, now);
+        destination.backends,
+        usable,
+        destination.max_streams,
+        this->loads,
+        now);
     if (!free.any)
     {
         return false;
     }
 
-    const std::size_t half = where.slots(usable, false, this->loads, now) / 2;
+    const std::size_t half =
+        destination.slots(usable, false, this->loads, now) / 2;
     const bool long_may_start =
-        where.long_in_flight < std::max<std::size_t>(half, 1) ||
-        where.queue.short_size(free.batch) == 0;
-    const auto chosen = where.queue.next({free.batch, long_may_start}, now);
+        destination.long_in_flight < std::max<std::size_t>(half, 1) ||
+        destination.queue.short_prompt_count(free.batch) == 0;
+    const auto chosen =
+        destination.queue.next({free.batch, long_may_start}, now);
     if (!chosen)
     {
         return false;
@@ -97,7 +108,8 @@
     pending& request = this->requests.at(chosen->item.id);
     if (request.info.content && this->table->is_blocked(request.info.content))
     {
-        this->refuse(chosen->item.id, refusal_reason::blocked, block_retry);
+        this->refuse(
+            chosen->item.id, refusal_reason::blocked, blocked_retry_after);
         return true;
     }
     if (request.info.content && this->table->is_suspect(request.info.content))
@@ -107,20 +119,21 @@
         this->enqueue(request);
         return true;
     }
-    if (!this->can_start(where, chosen->item, duration::zero(), now))
+    if (!this->can_meet_deadline(
+            destination, chosen->item, duration::zero(), now))
     {
         this->refuse(
             chosen->item.id,
             refusal_reason::deadline,
-            this->spread(
-                where.estimator.prefill(request.info.prompt_bytes, now)));
+            this->add_jitter(destination.estimator.prefill_time(
+                request.info.prompt_bytes, now)));
         return true;
     }
 
-    if (this->awaits_permit(where, request, usable, now))
+    if (this->awaits_permit(destination, request, usable, now))
     {
-        where.queue.erase(chosen->item.id);
-        aside.push_back(chosen->item);
+        destination.queue.erase(chosen->item.id);
+        skipped.push_back(chosen->item);
         return true;
     }
 
@@ -128,29 +141,29 @@
     if (this->settings.affinity != prefix_affinity::none)
     {
         query.prefix = request.info.prefix;
-        query.cached = &this->cached;
+        query.cached = &this->prefix_caches;
     }
-    query.max_streams = where.max_streams;
+    query.max_streams = destination.max_streams;
     query.tried = request.tried;
-    const auto index =
-        this->chooser.choose(where.backends, usable, query, this->loads, now);
+    const auto index = this->replica_balancer.choose(
+        destination.backends, usable, query, this->loads, now);
     if (!index)
     {
-        where.queue.erase(chosen->item.id);
-        aside.push_back(chosen->item);
+        destination.queue.erase(chosen->item.id);
+        skipped.push_back(chosen->item);
         return true;
     }
-    where.queue.take(*chosen);
-    this->grant_to(request, where.backends[*index], false);
-    where.breaker.granted(now);
+    destination.queue.take(*chosen);
+    this->grant_to(request, destination.backends[*index], false);
+    destination.breaker.record_grant(now);
     return true;
 }
 
 void dispatcher::impl::grant_to(
     pending& request, detail::backend& chosen, bool alone)
 {
-    detail::target& where = *request.where;
-    request.at = stage::granted;
+    detail::target& destination = *request.destination;
+    request.current_stage = stage::granted;
     request.replica = chosen.where.replica;
     request.address = chosen.where.address;
     request.server = chosen.server;
@@ -159,15 +172,15 @@
         request.info.held_bytes;
 
     ++chosen.in_flight;
-    ++where.in_flight;
-    where.long_in_flight += request.item.long_prompt ? 1 : 0;
+    ++destination.in_flight;
+    destination.long_in_flight += request.item.long_prompt ? 1 : 0;
     detail::server_state& server = this->loads.at(chosen.server);
     ++server.own;
     server.pace.sent();
     if (alone)
     {
         server.exclusive = request.item.id;
-        ++where.suspects_running;
+        ++destination.suspects_running;
     }
 
     grant command;
@@ -176,34 +189,34 @@
     command.replica = chosen.where.replica;
     command.address = chosen.where.address;
     command.attempt = request.attempts++;
-    ++request.fruitless;
+    ++request.attempts_without_progress;
     this->commands.emplace_back(std::move(command));
 }
 
-void dispatcher::impl::pump_if_freed(instant now)
+void dispatcher::impl::grant_waiting_on_freed_servers(instant now)
 {
-    while (std::exchange(this->shared_server_free, false))
+    while (std::exchange(this->shared_server_freed, false))
     {
         const std::vector<detail::target*> all(
             this->waiting.begin(), this->waiting.end());
-        for (detail::target* where : all)
+        for (detail::target* destination : all)
         {
-            this->pump_one(*where, now);
+            this->grant_waiting_of(*destination, now);
         }
     }
 }
 
-void dispatcher::impl::place_suspect(detail::target& where, instant now)
+void dispatcher::impl::grant_suspects(detail::target& destination, instant now)
 {
-    while (where.suspects_running == 0)
+    while (destination.suspects_running == 0)
     {
         const auto first = std::ranges::find_if(
-            where.suspects,
-            [this](ticket one)
+            destination.suspects,
+            [this](ticket candidate)
             {
-                return !this->requests.at(one).awaits_findings;
+                return !this->requests.at(candidate).awaits_crash_findings;
             });
-        if (first == where.suspects.end())
+        if (first == destination.suspects.end())
         {
             return;
         }
@@ -212,21 +225,23 @@
         if (request.info.content &&
             this->table->is_blocked(request.info.content))
         {
-            this->refuse(id, refusal_reason::blocked, block_retry);
+            this->refuse(id, refusal_reason::blocked, blocked_retry_after);
             continue;
         }
 
-        detail::backend* chosen = this->suspect_backend(where, request, now);
+        detail::backend* chosen =
+            this->choose_suspect_backend(destination, request, now);
         if (chosen == nullptr)
         {
-            this->shared_server_free =
-                this->shared_server_free || request.hold.has_value();
-            this->release_hold(id);
+            this->shared_server_freed = this->shared_server_freed ||
+                                        request.reserved_server.has_value();
+            this->release_reservation(id);
             return;
         }
-        if (request.hold && *request.hold != chosen->server)
+        if (request.reserved_server &&
+            *request.reserved_server != chosen->server)
         {
-            this->release_hold(id);
+            this->release_reservation(id);
         }
         detail::server_state& server = this->loads.at(chosen->server);
         if (server.own != 0)
@@ -234,102 +249,105 @@
             // Reserve the server until its running requests have ended. Don't
             // start a reservation while higher-priority requests wait, unless
             // the suspect request has aged.
-            const auto best = where.queue.best_class();
+            const auto best = destination.queue.best_class();
             const bool must_yield =
                 best && *best < request.item.level &&
                 now - request.item.enqueued < this->settings.ageing;
-            if (!must_yield || request.hold)
+            if (!must_yield || request.reserved_server)
             {
                 server.held = id;
-                request.hold = chosen->server;
+                request.reserved_server = chosen->server;
             }
             return;
         }
-        this->release_hold(id);
-        std::erase(where.suspects, id);
+        this->release_reservation(id);
+        std::erase(destination.suspects, id);
         this->grant_to(request, *chosen, true);
     }
 }
 
-detail::backend* dispatcher::impl::suspect_backend(
-    detail::target& where, const pending& request, instant now)
+detail::backend* dispatcher::impl::choose_suspect_backend(
+    detail::target& destination, const pending& request, instant now)
 {
-    std::vector<std::size_t> among =
-        detail::balancer::usable(where.backends, now);
-    if (among.size() == 1)
+    std::vector<std::size_t> candidates =
+        detail::balancer::usable(destination.backends, now);
+    if (candidates.size() == 1)
     {
         // Prefer an ejected replica over the last one that still answers.
-        for (std::size_t i = 0; i < where.backends.size(); ++i)
+        for (std::size_t i = 0; i < destination.backends.size(); ++i)
         {
-            const detail::backend& one = where.backends[i];
-            if (one.listed && !one.leaving && i != among.front())
+            const detail::backend& candidate = destination.backends[i];
+            if (candidate.listed && !candidate.leaving &&
+                i != candidates.front())
             {
-                among.front() = i;
+                candidates.front() = i;
                 break;
             }
         }
     }
 
-    const auto untried = [&](std::size_t i)
+    const auto is_untried = [&](std::size_t i)
     {
         return std::find(
                    request.tried.begin(),
                    request.tried.end(),
-                   where.backends[i].server) == request.tried.end();
+                   destination.backends[i].server) == request.tried.end();
     };
-    const bool another = std::any_of(among.begin(), among.end(), untried);
+    const bool has_untried =
+        std::any_of(candidates.begin(), candidates.end(), is_untried);
 
     detail::backend* best = nullptr;
     std::uint32_t best_load = 0;
-    for (const std::size_t i : among)
+    for (const std::size_t i : candidates)
     {
-        detail::backend& one = where.backends[i];
-        const detail::server_state& server = this->loads.at(one.server);
-        const bool others = server.exclusive ||
-                            (server.held && server.held != request.item.id) ||
-                            !server.pace.may_send(now);
-        if (others || (another && !untried(i)))
+        detail::backend& candidate = destination.backends[i];
+        const detail::server_state& server = this->loads.at(candidate.server);
+        const bool is_unavailable =
+            server.exclusive ||
+            (server.held && server.held != request.item.id) ||
+            !server.pace.may_send(now);
+        if (is_unavailable || (has_untried && !is_untried(i)))
         {
             continue;
         }
         if (server.held == request.item.id)
         {
-            return &one;
+            return &candidate;
         }
-        const std::uint32_t load = this->loads.load(one.server, now);
+        const std::uint32_t load = this->loads.load(candidate.server, now);
         if (best == nullptr || load < best_load)
         {
-            best = &one;
+            best = &candidate;
             best_load = load;
         }
     }
     return best;
 }
 
-void dispatcher::impl::release_hold(ticket id)
+void dispatcher::impl::release_reservation(ticket id)
 {
     pending& request = this->requests.at(id);
-    if (!request.hold)
+    if (!request.reserved_server)
     {
         return;
     }
-    detail::server_state& server = this->loads.at(*request.hold);
+    detail::server_state& server = this->loads.at(*request.reserved_server);
     if (server.held == id)
     {
         server.held = ticket{};
     }
-    request.hold.reset();
+    request.reserved_server.reset();
 }
 
-void dispatcher::impl::note_waiting(detail::target& where)
+void dispatcher::impl::update_waiting_set(detail::target& destination)
 {
-    if (where.waiting() == 0)
+    if (destination.waiting() == 0)
     {
-        this->waiting.erase(&where);
+        this->waiting.erase(&destination);
     }
     else
     {
-        this->waiting.insert(&where);
+        this->waiting.insert(&destination);
     }
 }
 
--- a/src/core/request/dispatcher_submit.cpp
+++ b/src/core/request/dispatcher_submit.cpp
@@ -11,15 +11,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration log_retry = 5s;
-constexpr duration block_retry = 60s;
-constexpr duration unknown_retry = 10s;
-constexpr duration drain_retry = 1s;
-constexpr duration full_retry = 1s;
+constexpr duration log_unavailable_retry_after = 5s;
+constexpr duration blocked_retry_after = 60s;
+constexpr duration unknown_target_retry_after = 10s;
+constexpr duration draining_retry_after = 1s;
+constexpr duration queue_full_retry_after = 1s;
 
 /// Idle targets are removed only while there are more targets than this.
-constexpr std::size_t remembered_targets = 2048;
-constexpr duration idle_limit = 60s;
+constexpr std::size_t max_retained_targets = 2048;
+constexpr duration target_idle_timeout = 60s;
 constexpr duration purge_interval = 10s;
 
 /// A request costs its caller one unit, plus one unit for each full
@@ -28,7 +28,7 @@
 constexpr std::uint32_t prompt_unit_bytes = 8 * 1024;
 constexpr std::uint32_t answer_unit_tokens = 256;
 
-priority capped(priority asked, priority highest)
+priority cap_priority(priority asked, priority highest)
 {
     return std::max(asked, highest);
 }
@@ -37,7 +37,7 @@
 
 dispatcher::impl::impl(options chosen)
     : settings(std::move(chosen))
-    , chooser(this->settings.data_centre, this->settings.seed)
+    , replica_balancer(this->settings.data_centre, this->settings.seed)
     , random(this->settings.seed ^ 0x5DEECE66DULL)
 {
 }
@@ -49,91 +49,97 @@
 
     if (this->draining)
     {
-        this->turn_away(id, refusal_reason::draining, drain_retry);
+        this->refuse_on_arrival(
+            id, refusal_reason::draining, draining_retry_after);
         return id;
     }
     if (!this->table)
     {
-        this->turn_away(id, refusal_reason::log_unavailable, log_retry);
+        this->refuse_on_arrival(
+            id, refusal_reason::log_unavailable, log_unavailable_retry_after);
         return id;
     }
-    detail::target* where = this->find_target(info, now);
-    if (where == nullptr)
+    detail::target* destination = this->find_or_add_target(info, now);
+    if (destination == nullptr)
     {
         const refusal_reason reason = info.is_service
                                           ? refusal_reason::unknown_service
                                           : refusal_reason::unknown_servable;
-        this->turn_away(id, reason, unknown_retry);
+        this->refuse_on_arrival(id, reason, unknown_target_retry_after);
         return id;
     }
     if (info.content && this->table->is_blocked(info.content))
     {
-        this->turn_away(id, refusal_reason::blocked, block_retry);
+        this->refuse_on_arrival(
+            id, refusal_reason::blocked, blocked_retry_after);
         return id;
     }
-    const refusal_reason closed = this->check_target(*where, now);
+    const refusal_reason closed = this->check_target(*destination, now);
     if (closed != refusal_reason::none)
     {
-        this->turn_away(id, closed, log_retry);
+        this->refuse_on_arrival(id, closed, log_unavailable_retry_after);
         return id;
     }
 
     const caller_spec* found = this->table->find_caller(info.caller);
     const caller_spec spec = found == nullptr ? caller_spec{} : *found;
-    const priority level = capped(info.asked, spec.highest);
-    if (!this->make_room(info, level))
+    const priority level = cap_priority(info.asked, spec.highest);
+    if (!this->free_held_bytes(info, level))
     {
-        this->turn_away(
-            id, refusal_reason::queue_full, this->spread(full_retry));
+        this->refuse_on_arrival(
+            id,
+            refusal_reason::queue_full,
+            this->add_jitter(queue_full_retry_after));
         return id;
     }
     const auto admission = this->limits.admit(info.caller, spec, now);
     if (admission.refused)
     {
-        this->turn_away(id, refusal_reason::caller_limit, *admission.refused);
+        this->refuse_on_arrival(
+            id, refusal_reason::caller_limit, *admission.refused);
         return id;
     }
 
     pending added;
     added.item = this->make_item(id, info, admission.caller, spec, now);
-    added.where = where;
+    added.destination = destination;
     added.info = std::move(info);
     this->held_bytes += added.info.held_bytes;
     this->enqueue(this->requests.emplace(id, std::move(added)).first->second);
-    this->admit(id, now);
+    this->start_or_queue(id, now);
     return id;
 }
 
-refusal_reason
-dispatcher::impl::check_target(const detail::target& where, instant now) const
+refusal_reason dispatcher::impl::check_target(
+    const detail::target& destination, instant now) const
 {
-    if (!where.known)
+    if (!destination.in_table)
     {
-        return where.is_service ? refusal_reason::unknown_service
-                                : refusal_reason::unknown_servable;
+        return destination.is_service ? refusal_reason::unknown_service
+                                      : refusal_reason::unknown_servable;
     }
-    if (!detail::balancer::usable(where.backends, now).empty())
+    if (!detail::balancer::usable(destination.backends, now).empty())
     {
         return refusal_reason::none;
     }
-    if (where.is_service || where.max_replicas == 0)
+    if (destination.is_service || destination.max_replicas == 0)
     {
         return refusal_reason::no_capacity;
     }
-    const bool may_load = this->table->log_available() || where.granted;
+    const bool may_load = this->table->log_available() || destination.granted;
     return may_load ? refusal_reason::none : refusal_reason::log_unavailable;
 }
 
 detail::target*
-dispatcher::impl::find_target(const request_info& info, instant now)
+dispatcher::impl::find_or_add_target(const request_info& info, instant now)
 {
-    targets& known = info.is_service ? this->services : this->servables;
-    const auto found = known.find(info.target);
-    if (found != known.end())
+    targets& by_name = info.is_service ? this->services : this->servables;
+    const auto found = by_name.find(info.target);
+    if (found != by_name.end())
     {
         this->refresh(*found->second, now);
         found->second->last_used = now;
-        return found->second->known ? found->second.get() : nullptr;
+        return found->second->in_table ? found->second.get() : nullptr;
     }
 
     const bool exists =
@@ -149,11 +155,11 @@
         info.is_service,
         this->settings.ageing,
         this->settings.retry_budget_percent);
-    detail::target* where = added.get();
-    known.emplace(info.target, std::move(added));
-    where->last_used = now;
-    this->refresh(*where, now);
-    return where;
+    detail::target* destination = added.get();
+    by_name.emplace(info.target, std::move(added));
+    destination->last_used = now;
+    this->refresh(*destination, now);
+    return destination;
 }
 
 detail::queue_item dispatcher::impl::make_item(
@@ -167,7 +173,7 @@
     item.id = id;
     item.deadline = info.deadline;
     item.enqueued = now;
-    item.level = capped(info.asked, spec.highest);
+    item.level = cap_priority(info.asked, spec.highest);
     item.caller = caller;
     item.weight = std::max<std::uint16_t>(spec.weight, 1);
     item.cost = 1 + info.prompt_bytes / prompt_unit_bytes +
@@ -176,35 +182,39 @@
     return item;
 }
 
-void dispatcher::impl::admit(ticket id, instant now)
+void dispatcher::impl::start_or_queue(ticket id, instant now)
 {
-    detail::target& where = *this->requests.at(id).where;
-    this->pump(where, now);
+    detail::target& destination = *this->requests.at(id).destination;
+    this->grant_waiting(destination, now);
 
     const auto found = this->requests.find(id);
-    if (found == this->requests.end() || found->second.at == stage::granted)
+    if (found == this->requests.end() ||
+        found->second.current_stage == stage::granted)
     {
         return;
     }
 
     const detail::queue_item item = found->second.item;
-    this->due_by(std::min(item.deadline, now + this->settings.demand_interval));
-    const auto usable = detail::balancer::usable(where.backends, now);
-    const std::size_t ahead =
-        found->second.at == stage::suspect ? 0 : where.queue.ahead_of(item);
-    const limited_outlook limits = this->limited_outlook_of(where, usable, now);
+    this->schedule_tick_for_queued(
+        std::min(item.deadline, now + this->settings.demand_interval));
+    const auto usable = detail::balancer::usable(destination.backends, now);
+    const std::size_t ahead = found->second.current_stage == stage::suspect
+                                  ? 0
+                                  : destination.queue.ahead_of(item);
+    const rate_limit_forecast forecast =
+        this->forecast_rate_limit(destination, usable, now);
     const duration wait =
-        this->predicted_wait(where, item, ahead, usable, limits, now);
-    this->ask_for_replicas(where, now);
-    if (!this->can_start(where, item, wait, now))
+        this->predicted_wait(destination, item, ahead, usable, forecast, now);
+    this->request_replicas(destination, now);
+    if (!this->can_meet_deadline(destination, item, wait, now))
     {
-        this->refuse(id, refusal_reason::deadline, this->spread(wait));
+        this->refuse(id, refusal_reason::deadline, this->add_jitter(wait));
         return;
     }
-    this->trim(id);
+    this->enforce_queue_limits(id);
 }
 
-bool dispatcher::impl::make_room(const request_info& info, priority level)
+bool dispatcher::impl::free_held_bytes(const request_info& info, priority level)
 {
     const std::size_t limit = this->settings.max_held_bytes;
     std::size_t displaceable = 0;
@@ -220,61 +230,68 @@
 
     while (this->held_bytes + info.held_bytes > limit)
     {
-        const auto victim = this->least_wanted(nullptr, level);
+        const auto victim = this->displacement_candidate(nullptr, level);
         if (!victim)
         {
             return false;
         }
         this->refuse(
-            victim->id, refusal_reason::displaced, this->spread(full_retry));
+            victim->id,
+            refusal_reason::displaced,
+            this->add_jitter(queue_full_retry_after));
     }
     return true;
 }
 
-void dispatcher::impl::trim(ticket newest)
+void dispatcher::impl::enforce_queue_limits(ticket newest)
 {
     const pending& request = this->requests.at(newest);
-    const detail::target& where = *request.where;
+    const detail::target& destination = *request.destination;
     const priority level = request.item.level;
     while (true)
     {
         const bool target_full =
-            where.waiting() > this->settings.max_queued_per_target;
+            destination.waiting() > this->settings.max_queued_per_target;
         if (!target_full && this->queued_count <= this->settings.max_queued)
         {
             return;
         }
-        const auto victim =
-            this->least_wanted(target_full ? &where : nullptr, level);
+        const auto victim = this->displacement_candidate(
+            target_full ? &destination : nullptr, level);
         if (!victim)
         {
             this->refuse(
-                newest, refusal_reason::queue_full, this->spread(full_retry));
+                newest,
+                refusal_reason::queue_full,
+                this->add_jitter(queue_full_retry_after));
             return;
         }
         this->refuse(
-            victim->id, refusal_reason::displaced, this->spread(full_retry));
+            victim->id,
+            refusal_reason::displaced,
+            this->add_jitter(queue_full_retry_after));
     }
 }
 
-std::optional<detail::queue_item>
-dispatcher::impl::least_wanted(const detail::target* only, priority below) const
+std::optional<detail::queue_item> dispatcher::impl::displacement_candidate(
+    const detail::target* only, priority below) const
 {
     if (only != nullptr)
     {
-        return only->queue.least_wanted(below);
+        return only->queue.displacement_candidate(below);
     }
 
     std::optional<detail::queue_item> worst;
     std::size_t longest = 0;
-    for (const detail::target* one : this->waiting)
+    for (const detail::target* waiting_target : this->waiting)
     {
-        const auto candidate = one->queue.least_wanted(below);
+        const auto candidate =
+            waiting_target->queue.displacement_candidate(below);
         if (!candidate)
         {
             continue;
         }
-        const std::size_t length = one->queue.size(candidate->level);
+        const std::size_t length = waiting_target->queue.size(candidate->level);
         if (!worst || candidate->level > worst->level ||
             (candidate->level == worst->level && length > longest))
         {
@@ -285,7 +302,7 @@
     return worst;
 }
 
-void dispatcher::impl::turn_away(
+void dispatcher::impl::refuse_on_arrival(
     ticket id, refusal_reason reason, duration retry_after)
 {
     this->commands.emplace_back(
@@ -300,14 +317,14 @@
     }
     this->last_purge = now;
     this->limits.purge(now);
-    if (this->servables.size() + this->services.size() <= remembered_targets)
+    if (this->servables.size() + this->services.size() <= max_retained_targets)
     {
         return;
     }
     const auto forgettable = [now](const auto& entry)
     {
         return entry.second->idle() &&
-               now - entry.second->last_used > idle_limit;
+               now - entry.second->last_used > target_idle_timeout;
     };
     std::erase_if(this->servables, forgettable);
     std::erase_if(this->services, forgettable);
--- a/src/core/request/dispatcher_tick.cpp
+++ b/src/core/request/dispatcher_tick.cpp
@@ -11,13 +11,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration log_retry = 5s;
-constexpr duration drain_retry = 1s;
-constexpr duration shortest_retry = 100ms;
-constexpr duration longest_retry = 10min;
+constexpr duration log_unavailable_retry_after = 5s;
+constexpr duration draining_retry_after = 1s;
+constexpr duration min_retry_after = 100ms;
+constexpr duration max_retry_after = 10min;
 
 /// If no demand was sent for this long, the cold start counts as a new one.
-constexpr duration demand_lapse = 60s;
+constexpr duration demand_timeout = 60s;
 
 } // namespace
 
@@ -31,9 +31,9 @@
     ++this->generation;
     const std::vector<detail::target*> all(
         this->waiting.begin(), this->waiting.end());
-    for (detail::target* where : all)
+    for (detail::target* destination : all)
     {
-        this->serve_waiting(*where, now);
+        this->update_waiting(*destination, now);
     }
 }
 
@@ -43,18 +43,18 @@
     const detail::server_key server = detail::key_of(report.engine);
     const std::vector<detail::target*> all(
         this->waiting.begin(), this->waiting.end());
-    for (detail::target* where : all)
+    for (detail::target* destination : all)
     {
-        const bool there = std::any_of(
-            where->backends.begin(),
-            where->backends.end(),
-            [server](const detail::backend& one)
+        const bool uses_server = std::any_of(
+            destination->backends.begin(),
+            destination->backends.end(),
+            [server](const detail::backend& candidate)
             {
-                return one.server == server;
+                return candidate.server == server;
             });
-        if (there)
+        if (uses_server)
         {
-            this->pump(*where, now);
+            this->grant_waiting(*destination, now);
         }
     }
 }
@@ -64,7 +64,7 @@
 {
     if (this->settings.affinity == prefix_affinity::cache_events)
     {
-        this->cached.reported(report, now);
+        this->prefix_caches.reported(report, now);
     }
 }
 
@@ -73,15 +73,16 @@
     this->loads.routers_alive(count);
     const std::vector<detail::target*> all(
         this->waiting.begin(), this->waiting.end());
-    for (detail::target* where : all)
+    for (detail::target* destination : all)
     {
-        this->pump(*where, now);
+        this->grant_waiting(*destination, now);
     }
 }
 
-void dispatcher::impl::vm_leaving(std::string_view vm, bool is, instant now)
+void dispatcher::impl::vm_leaving(
+    std::string_view vm, bool is_leaving, instant now)
 {
-    if (is)
+    if (is_leaving)
     {
         this->leaving.emplace(vm);
     }
@@ -90,18 +91,18 @@
     {
         this->leaving.erase(found);
     }
-    for (targets* known : {&this->servables, &this->services})
+    for (targets* by_name : {&this->servables, &this->services})
     {
-        for (auto& [name, where] : *known)
+        for (auto& [name, destination] : *by_name)
         {
-            where->mark_leaving(this->leaving);
+            destination->mark_leaving(this->leaving);
         }
     }
     const std::vector<detail::target*> all(
         this->waiting.begin(), this->waiting.end());
-    for (detail::target* where : all)
+    for (detail::target* destination : all)
     {
-        this->serve_waiting(*where, now);
+        this->update_waiting(*destination, now);
     }
 }
 
@@ -110,150 +111,163 @@
     this->draining = true;
     const std::vector<detail::target*> all(
         this->waiting.begin(), this->waiting.end());
-    for (detail::target* where : all)
+    for (detail::target* destination : all)
     {
-        this->refuse_all(*where, refusal_reason::draining, drain_retry);
+        this->refuse_all(
+            *destination, refusal_reason::draining, draining_retry_after);
     }
 }
 
 void dispatcher::impl::tick(instant now)
 {
-    this->due = now + this->settings.demand_interval;
+    this->next_tick_time = now + this->settings.demand_interval;
     const std::vector<detail::target*> all(
         this->waiting.begin(), this->waiting.end());
-    for (detail::target* where : all)
+    for (detail::target* destination : all)
     {
-        this->serve_waiting(*where, now);
-        if (const auto earliest = where->queue.earliest_deadline())
+        this->update_waiting(*destination, now);
+        if (const auto earliest = destination->queue.earliest_deadline())
         {
-            this->due_no_later(*earliest);
+            this->schedule_tick_by(*earliest);
         }
     }
 }
 
 std::optional<instant> dispatcher::impl::next_tick() const
 {
-    return this->queued_count == 0 ? std::nullopt : this->due;
+    return this->queued_count == 0 ? std::nullopt : this->next_tick_time;
 }
 
-void dispatcher::impl::due_by(instant when)
+void dispatcher::impl::schedule_tick_for_queued(instant when)
 {
     const bool stale = this->queued_count <= 1;
-    this->due = this->due && !stale ? std::min(*this->due, when) : when;
+    this->next_tick_time = this->next_tick_time && !stale
+                               ? std::min(*this->next_tick_time, when)
+                               : when;
 }
 
-void dispatcher::impl::due_no_later(instant when)
+void dispatcher::impl::schedule_tick_by(instant when)
 {
-    this->due = this->due ? std::min(*this->due, when) : when;
+    this->next_tick_time =
+        this->next_tick_time ? std::min(*this->next_tick_time, when) : when;
 }
 
-void dispatcher::impl::serve_waiting(detail::target& where, instant now)
+void dispatcher::impl::update_waiting(detail::target& destination, instant now)
 {
-    this->refresh(where, now);
-    const refusal_reason closed = this->check_target(where, now);
+    this->refresh(destination, now);
+    const refusal_reason closed = this->check_target(destination, now);
     if (closed != refusal_reason::none)
     {
-        this->refuse_all(where, closed, this->spread(log_retry));
+        this->refuse_all(
+            destination, closed, this->add_jitter(log_unavailable_retry_after));
         return;
     }
-    this->pump(where, now);
-    this->examine(where, now);
-    this->ask_for_replicas(where, now);
+    this->grant_waiting(destination, now);
+    this->refuse_late(destination, now);
+    this->request_replicas(destination, now);
 }
 
 duration dispatcher::impl::predicted_wait(
-    const detail::target& where,
+    const detail::target& destination,
     const detail::queue_item& item,
     std::size_t ahead,
     std::span<std::size_t const> usable,
-    const limited_outlook& limits,
+    const rate_limit_forecast& forecast,
     instant now) const
 {
     if (usable.empty())
     {
-        return this->remaining_cold(where, now) +
-               where.estimator.queue_wait(ahead, where.max_streams, now);
+        return this->remaining_cold_start(destination, now) +
+               destination.estimator.queue_wait(
+                   ahead, destination.max_streams, now);
     }
     const bool batch = item.level == priority::batch;
-    const std::size_t slots = where.slots(usable, batch, this->loads, now);
+    const std::size_t slots =
+        destination.slots(usable, batch, this->loads, now);
     return std::max(
-        where.estimator.queue_wait(ahead, slots, now), limits.wait(ahead));
+        destination.estimator.queue_wait(ahead, slots, now),
+        forecast.wait(ahead));
 }
 
-duration
-dispatcher::impl::remaining_cold(const detail::target& where, instant now) const
+duration dispatcher::impl::remaining_cold_start(
+    const detail::target& destination, instant now) const
 {
     // The time planned by placement takes precedence over past cold starts.
-    if (where.expected_ready)
-        return std::max(*where.expected_ready - now, duration::zero());
-    const duration whole = where.estimator.cold(where.load_estimate);
-    const duration passed =
-        where.cold_since ? now - *where.cold_since : duration::zero();
-    return std::max(whole - passed, duration::zero());
+    if (destination.expected_ready)
+        return std::max(*destination.expected_ready - now, duration::zero());
+    const duration total =
+        destination.estimator.cold_start_time(destination.load_estimate);
+    const duration elapsed = destination.cold_since
+                                 ? now - *destination.cold_since
+                                 : duration::zero();
+    return std::max(total - elapsed, duration::zero());
 }
 
-bool dispatcher::impl::can_start(
-    const detail::target& where,
+bool dispatcher::impl::can_meet_deadline(
+    const detail::target& destination,
     const detail::queue_item& item,
     duration wait,
     instant now) const
 {
     const pending& request = this->requests.at(item.id);
     const duration prefill =
-        where.estimator.prefill(request.info.prompt_bytes, now);
+        destination.estimator.prefill_time(request.info.prompt_bytes, now);
     // The remaining length of a resumed stream is unknown.
-    const duration rest =
+    const duration generation_left =
         request.resumed ? duration::zero()
-                        : where.estimator.rest(request.info.max_tokens, now);
-    return now < item.deadline && now + wait + prefill + rest <= item.deadline;
+                        : destination.estimator.generation_time(
+                              request.info.max_tokens, now);
+    return now < item.deadline &&
+           now + wait + prefill + generation_left <= item.deadline;
 }
 
-duration dispatcher::impl::spread(duration value)
+duration dispatcher::impl::add_jitter(duration value)
 {
     // Adds up to 25 % so that refused callers don't all retry at once.
-    const duration least = std::clamp(value, shortest_retry, longest_retry);
-    const auto part = static_cast<duration::rep>(this->random() >> 48);
-    return least + least / 4 * part / (1 << 16);
+    const duration base = std::clamp(value, min_retry_after, max_retry_after);
+    const auto random_part = static_cast<duration::rep>(this->random() >> 48);
+    return base + base / 4 * random_part / (1 << 16);
 }
 
-void dispatcher::impl::examine(detail::target& where, instant now)
+void dispatcher::impl::refuse_late(detail::target& destination, instant now)
 {
-    if (where.waiting() == 0)
+    if (destination.waiting() == 0)
     {
         return;
     }
-    const auto usable = detail::balancer::usable(where.backends, now);
-    const limited_outlook limits = this->limited_outlook_of(where, usable, now);
+    const auto usable = detail::balancer::usable(destination.backends, now);
+    const rate_limit_forecast forecast =
+        this->forecast_rate_limit(destination, usable, now);
     std::vector<std::pair<ticket, duration>> refused;
-    const auto examine_one =
+    const auto check_deadline =
         [&](const detail::queue_item& item, std::size_t ahead)
     {
-        const duration wait =
-            this->predicted_wait(where, item, ahead, usable, limits, now);
-        if (this->can_start(where, item, wait, now))
+        const duration wait = this->predicted_wait(
+            destination, item, ahead, usable, forecast, now);
+        if (this->can_meet_deadline(destination, item, wait, now))
         {
             return true;
         }
         refused.emplace_back(item.id, wait);
         return false;
     };
-    where.queue.examine_all(examine_one);
-    for (const ticket id : where.suspects)
+    destination.queue.visit_waiting(check_deadline);
+    for (const ticket id : destination.suspects)
     {
-        examine_one(this->requests.at(id).item, 0);
+        check_deadline(this->requests.at(id).item, 0);
     }
     for (const auto& [id, wait] : refused)
     {
-        this->refuse(id, refusal_reason::deadline, this->spread(wait));
+        this->refuse(id, refusal_reason::deadline, this->add_jitter(wait));
     }
-    this->pump_if_freed(now);
+    this->grant_waiting_on_freed_servers(now);
 }
 
 void dispatcher::impl::refuse_all(
-    detail::target& where, refusal_reason reason, duration retry_after)
+    detail::target& destination, refusal_reason reason, duration retry_after)
 {
-    std::vector<ticket> all = where.suspects;
-    where.queue.examine_all(
+    std::vector<ticket> all = destination.suspects;
+    destination.queue.visit_waiting(
         [&all](const detail::queue_item& item, std::size_t)
         {
             all.push_back(item.id);
@@ -266,49 +280,51 @@
     }
 }
 
-void dispatcher::impl::ask_for_replicas(detail::target& where, instant now)
+void dispatcher::impl::request_replicas(
+    detail::target& destination, instant now)
 {
-    if (where.is_service || !where.known || where.waiting() == 0 ||
-        where.max_replicas == 0 ||
-        (!this->table->log_available() && !where.granted))
+    if (destination.is_service || !destination.in_table ||
+        destination.waiting() == 0 || destination.max_replicas == 0 ||
+        (!this->table->log_available() && !destination.granted))
     {
         return;
     }
-    const auto usable = detail::balancer::usable(where.backends, now);
+    const auto usable = detail::balancer::usable(destination.backends, now);
     const auto ready = static_cast<std::size_t>(std::count_if(
-        where.backends.begin(),
-        where.backends.end(),
-        [](const detail::backend& one)
+        destination.backends.begin(),
+        destination.backends.end(),
+        [](const detail::backend& candidate)
         {
-            return one.listed;
+            return candidate.listed;
         }));
     const bool short_of_slots =
-        where.waiting() > where.slots(usable, false, this->loads, now) &&
-        ready < where.max_replicas;
+        destination.waiting() >
+            destination.slots(usable, false, this->loads, now) &&
+        ready < destination.max_replicas;
     if (!usable.empty() && !short_of_slots)
     {
         return;
     }
 
-    const bool lapsed =
-        !where.last_demand || now - *where.last_demand > demand_lapse;
-    if (usable.empty() && (!where.cold_since || lapsed))
+    const bool demand_expired = !destination.last_demand ||
+                                now - *destination.last_demand > demand_timeout;
+    if (usable.empty() && (!destination.cold_since || demand_expired))
     {
-        where.cold_since = now;
+        destination.cold_since = now;
     }
-    if (where.last_demand &&
-        now - *where.last_demand < this->settings.demand_interval)
+    if (destination.last_demand &&
+        now - *destination.last_demand < this->settings.demand_interval)
     {
         return;
     }
-    this->send_demand(where, now);
+    this->send_demand(destination, now);
 }
 
 instant dispatcher::impl::earliest_objective(
-    const detail::target& where, instant now) const
+    const detail::target& destination, instant now) const
 {
     instant earliest = instant::max();
-    where.queue.examine_all(
+    destination.queue.visit_waiting(
         [&](const detail::queue_item& item, std::size_t)
         {
             const instant objective = this->requests.at(item.id).info.objective;
@@ -319,24 +335,24 @@
     return earliest;
 }
 
-void dispatcher::impl::send_demand(detail::target& where, instant now)
+void dispatcher::impl::send_demand(detail::target& destination, instant now)
 {
     demand command;
-    command.servable = where.servable;
-    command.target = where.name;
-    command.earliest_objective = this->earliest_objective(where, now);
-    command.waiting = static_cast<std::uint32_t>(where.waiting());
-    command.urgency = where.queue.best_class().value_or(priority::batch);
+    command.servable = destination.servable;
+    command.target = destination.name;
+    command.earliest_objective = this->earliest_objective(destination, now);
+    command.waiting = static_cast<std::uint32_t>(destination.waiting());
+    command.urgency = destination.queue.best_class().value_or(priority::batch);
     command.earliest_deadline =
-        where.queue.earliest_deadline().value_or(instant::max());
-    for (const ticket id : where.suspects)
+        destination.queue.earliest_deadline().value_or(instant::max());
+    for (const ticket id : destination.suspects)
     {
         const detail::queue_item& item = this->requests.at(id).item;
         command.urgency = std::min(command.urgency, item.level);
         command.earliest_deadline =
             std::min(command.earliest_deadline, item.deadline);
     }
-    where.last_demand = now;
+    destination.last_demand = now;
     this->commands.emplace_back(command);
 }
 
--- a/src/core/request/interval_estimate.cpp
+++ b/src/core/request/interval_estimate.cpp
@@ -13,16 +13,16 @@
         return;
     }
     const duration error = sample - this->mean;
-    const duration size = error < duration::zero() ? -error : error;
-    this->deviation += (size - this->deviation) / 4;
+    const duration magnitude = error < duration::zero() ? -error : error;
+    this->deviation += (magnitude - this->deviation) / 4;
     this->mean += error / 8;
-    if (this->samples < wanted_samples)
+    if (this->samples < min_samples)
         ++this->samples;
 }
 
-std::optional<duration> interval_estimate::longest_expected() const
+std::optional<duration> interval_estimate::upper_bound() const
 {
-    if (this->samples < wanted_samples)
+    if (this->samples < min_samples)
         return std::nullopt;
     return 2 * this->mean + 4 * this->deviation;
 }
--- a/src/core/request/interval_estimate.hpp
+++ b/src/core/request/interval_estimate.hpp
@@ -19,13 +19,13 @@
 {
 public:
     /// With fewer samples than this there is no estimate.
-    static constexpr std::uint32_t wanted_samples = 4;
+    static constexpr std::uint32_t min_samples = 4;
 
     void add(duration sample);
 
     /// @return Twice the mean plus four mean deviations; empty if there are too
     ///         few samples.
-    std::optional<duration> longest_expected() const;
+    std::optional<duration> upper_bound() const;
 
 private:
     std::uint32_t samples = 0;
--- a/src/core/request/progress_estimator.hpp
+++ b/src/core/request/progress_estimator.hpp
@@ -43,32 +43,34 @@
 class progress_estimator
 {
 public:
-    static constexpr duration floor = std::chrono::milliseconds(250);
+    static constexpr duration min_limit = std::chrono::milliseconds(250);
     /// Factor by which the limit is longer on a fresh connection.
-    static constexpr int fresh_factor = 4;
-    static constexpr std::size_t most_kinds = 1024;
+    static constexpr int fresh_connection_factor = 4;
+    static constexpr std::size_t max_entries = 1024;
 
     /// @param ceiling Upper bound of the limit.
     /// @return        Time limit, measured from sending the request.
     duration first_byte_limit(
-        const work_kind& work, connection_kind on, duration ceiling) const;
+        const work_kind& profile,
+        connection_kind connection,
+        duration ceiling) const;
 
     /// Records the time from sending a request to the first byte of its answer.
-    void answered(const work_kind& work, duration first_byte, instant now);
+    void answered(const work_kind& profile, duration first_byte, instant now);
 
     /// Records that a limit expired.
-    void ran_out(const work_kind& work);
+    void ran_out(const work_kind& profile);
 
 private:
     struct entry
     {
         interval_estimate first_byte;
         std::uint32_t backoff = 1;
-        instant used;
+        instant last_used;
     };
 
-    static std::uint64_t key_of(const work_kind& work);
-    void make_room();
+    static std::uint64_t key_of(const work_kind& profile);
+    void evict_oldest();
 
     std::unordered_map<std::uint64_t, entry> entries;
 };
@@ -78,7 +80,7 @@
 class stream_pace
 {
 public:
-    static constexpr duration floor = std::chrono::seconds(1);
+    static constexpr duration min_limit = std::chrono::seconds(1);
 
     /// Records the arrival of one or more events.
     void event(instant now);
@@ -89,7 +91,7 @@
 
 private:
     interval_estimate gap;
-    bool begun = false;
+    bool has_event = false;
     instant last;
 };
 
--- a/src/core/request/retry_budget.hpp
+++ b/src/core/request/retry_budget.hpp
@@ -10,7 +10,7 @@
 /** Limits the retries of one target so that they can't amplify a failure.
 
     A token bucket. Each answer adds `percent_of_answers` / 100 of a token, and
-    each second adds `floor_per_second` tokens. The capacity is ten seconds'
+    each second adds `tokens_per_second` tokens. The capacity is ten seconds'
     worth of the latter plus `percent_of_answers` tokens. A retry takes one
     token. The tokens added per second allow a rarely used model to retry.
 
@@ -19,7 +19,7 @@
 class retry_budget
 {
 public:
-    static constexpr std::int64_t floor_per_second = 3;
+    static constexpr std::int64_t tokens_per_second = 3;
 
     /// Starts with the tokens that one second adds.
     explicit retry_budget(std::uint32_t percent_of_answers);
@@ -35,14 +35,14 @@
     /// @param spare Leave the last third of the capacity to more urgent
     /// retries.
     /// @return      Whether the retry may be sent.
-    bool withdraw(instant now, bool spare = false);
+    bool withdraw(instant now, bool leave_reserve = false);
 
 private:
     void refill(instant now);
 
     // In millionths of a token, so that sums are exact.
     std::int64_t per_answer;
-    std::int64_t limit;
+    std::int64_t capacity;
     std::int64_t tokens;
     bool started = false;
     instant last;
--- a/src/core/request/shared_retry_budget.cpp
+++ b/src/core/request/shared_retry_budget.cpp
@@ -13,40 +13,44 @@
 void shared_retry_budget::requested(instant now)
 {
     this->advance(now);
-    ++this->parts[static_cast<std::size_t>(this->newest) % part_count].requests;
+    ++this->slices[static_cast<std::size_t>(this->newest) % slice_count]
+          .requests;
 }
 
 bool shared_retry_budget::withdraw(std::size_t routers, instant now)
 {
-    if (this->left(routers, now) == 0)
+    if (this->available(routers, now) == 0)
         return false;
-    ++this->parts[static_cast<std::size_t>(this->newest) % part_count].retries;
+    ++this->slices[static_cast<std::size_t>(this->newest) % slice_count]
+          .retries;
     return true;
 }
 
-std::size_t shared_retry_budget::left(std::size_t routers, instant now)
+std::size_t shared_retry_budget::available(std::size_t routers, instant now)
 {
     this->advance(now);
     std::uint64_t requests = 0;
     std::uint64_t retries = 0;
-    for (const part& one : this->parts)
+    for (const slice& counted : this->slices)
     {
-        requests += one.requests;
-        retries += one.retries;
+        requests += counted.requests;
+        retries += counted.retries;
     }
-    const double shared =
+    const double fixed_share =
         this->settings.extra /
         static_cast<double>(std::max<std::size_t>(routers, 1));
     const double allowed =
-        this->settings.caution *
-        (this->settings.ratio * static_cast<double>(requests) + shared);
-    const auto whole = static_cast<std::uint64_t>(allowed);
-    return whole > retries ? static_cast<std::size_t>(whole - retries) : 0;
+        this->settings.usable_fraction *
+        (this->settings.ratio * static_cast<double>(requests) + fixed_share);
+    const auto allowed_retries = static_cast<std::uint64_t>(allowed);
+    return allowed_retries > retries
+               ? static_cast<std::size_t>(allowed_retries - retries)
+               : 0;
 }
 
 void shared_retry_budget::advance(instant now)
 {
-    const duration length = this->settings.window / part_count;
+    const duration length = this->settings.window / slice_count;
     const std::int64_t number = now.time_since_epoch() / length;
     if (!this->started)
     {
@@ -55,9 +59,9 @@
         return;
     }
     const std::int64_t steps = std::min<std::int64_t>(
-        number - this->newest, static_cast<std::int64_t>(part_count));
+        number - this->newest, static_cast<std::int64_t>(slice_count));
     for (std::int64_t i = 0; i < steps; ++i)
-        this->parts[static_cast<std::size_t>(number - i) % part_count] = {};
+        this->slices[static_cast<std::size_t>(number - i) % slice_count] = {};
     this->newest = std::max(this->newest, number);
 }
 
--- a/src/core/request/shared_retry_budget.hpp
+++ b/src/core/request/shared_retry_budget.hpp
@@ -30,7 +30,7 @@
         duration window = std::chrono::seconds(10);
         /// Fraction of the allowance that is used. The windows are not aligned:
         /// a request counted here may fall into another window elsewhere.
-        double caution = 0.7;
+        double usable_fraction = 0.7;
     };
 
     explicit shared_retry_budget(options settings);
@@ -45,12 +45,12 @@
     bool withdraw(std::size_t routers, instant now);
 
     /// @return Number of retries that may be sent now.
-    std::size_t left(std::size_t routers, instant now);
+    std::size_t available(std::size_t routers, instant now);
 
 private:
-    static constexpr std::size_t part_count = 10;
+    static constexpr std::size_t slice_count = 10;
 
-    struct part
+    struct slice
     {
         std::uint32_t requests = 0;
         std::uint32_t retries = 0;
@@ -59,7 +59,7 @@
     void advance(instant now);
 
     options settings;
-    std::array<part, part_count> parts{};
+    std::array<slice, slice_count> slices{};
     std::int64_t newest = 0; ///< index of the newest slice since the epoch
     bool started = false;
 };
--- a/src/core/request/stream_position.cpp
+++ b/src/core/request/stream_position.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t most_tag_bytes = 256;
+constexpr std::size_t max_tag_bytes = 256;
 
 std::optional<std::uint64_t> parse_id(std::string_view text)
 {
@@ -25,10 +25,10 @@
 bool stream_position::begin(std::string_view tag)
 {
     // The caller has no event of the earlier run, so this one starts afresh.
-    if (!this->last)
+    if (!this->last_accepted)
     {
         this->runs = 1;
-        this->can_resume = !tag.empty() && tag.size() <= most_tag_bytes;
+        this->can_resume = !tag.empty() && tag.size() <= max_tag_bytes;
         this->run_tag = this->can_resume ? tag : std::string_view();
         return true;
     }
@@ -41,15 +41,16 @@
 bool stream_position::accept(std::string_view id)
 {
     const auto number = parse_id(id);
-    const bool follows = number && (!this->last || *number == *this->last + 1);
-    if (this->joining() && !follows)
+    const bool follows =
+        number && (!this->last_accepted || *number == *this->last_accepted + 1);
+    if (this->is_continuation() && !follows)
     {
         this->can_resume = false;
         return false;
     }
     this->can_resume = this->can_resume && follows;
     if (number)
-        this->last = number;
+        this->last_accepted = number;
     return true;
 }
 
--- a/src/core/request/stream_position.hpp
+++ b/src/core/request/stream_position.hpp
@@ -34,11 +34,11 @@
     /// @return Whether another run can continue the stream from here.
     bool resumable() const
     {
-        return this->can_resume && this->last.has_value();
+        return this->can_resume && this->last_accepted.has_value();
     }
 
     /// @return Whether the current run continues an earlier one.
-    bool joining() const
+    bool is_continuation() const
     {
         return this->runs > 1;
     }
@@ -53,7 +53,7 @@
     ///         first.
     std::uint64_t last_id() const
     {
-        return this->last.value_or(0);
+        return this->last_accepted.value_or(0);
     }
 
     const std::string& tag() const
@@ -63,7 +63,7 @@
 
 private:
     std::string run_tag;
-    std::optional<std::uint64_t> last;
+    std::optional<std::uint64_t> last_accepted;
     std::uint32_t runs = 0;
     bool can_resume = false;
 };
--- a/src/core/request/target.cpp
+++ b/src/core/request/target.cpp
@@ -7,13 +7,13 @@
 {
 
 target::target(
-    std::uint32_t number_of_use,
-    std::string own_name,
+    std::uint32_t order,
+    std::string target_name,
     bool service,
     duration ageing,
     std::uint32_t retry_percent)
-    : number(number_of_use)
-    , name(std::move(own_name))
+    : number(order)
+    , name(std::move(target_name))
     , is_service(service)
     , queue(ageing)
     , budget(retry_percent)
@@ -23,68 +23,70 @@
 
 bool target::refresh(const routing_table& table, const leaving_vms& leaving)
 {
-    for (backend& one : this->backends)
+    for (backend& item : this->backends)
     {
-        one.listed = false;
+        item.listed = false;
     }
 
-    this->known = false;
+    this->in_table = false;
     if (this->is_service)
     {
         if (const service_routes* entry = table.find_service(this->name))
         {
-            this->take(*entry);
+            this->apply(*entry);
         }
     }
     else if (const servable_routes* entry = table.find_servable(this->name))
     {
-        this->take(*entry);
+        this->apply(*entry);
         this->expected_ready = table.expected_ready(this->name);
     }
 
     this->drop_unlisted();
     this->mark_leaving(leaving);
-    return this->known;
+    return this->in_table;
 }
 
-void target::take(const servable_routes& entry)
+void target::apply(const servable_routes& entry)
 {
-    this->known = true;
+    this->in_table = true;
     this->servable = entry.id;
     this->max_streams = std::max<std::uint16_t>(entry.max_streams, 1);
     this->max_replicas = entry.max_replicas;
     this->granted = entry.granted;
     this->load_estimate = std::chrono::milliseconds(entry.load_estimate_ms);
-    for (const route& one : entry.ready)
+    for (const route& item : entry.ready)
     {
-        this->list(one, key_of(one.engine));
+        this->list_backend(item, key_of(item.engine));
     }
 }
 
-void target::take(const service_routes& entry)
+void target::apply(const service_routes& entry)
 {
-    this->known = true;
+    this->in_table = true;
     this->max_streams = std::max<std::uint16_t>(entry.max_streams, 1);
-    for (const service_backend& one : entry.backends)
+    for (const service_backend& item : entry.backends)
     {
-        route where;
-        where.address = one.address;
-        where.data_centre = one.data_centre;
-        where.vm = one.vm;
-        this->list(std::move(where), key_of_address(one.address));
+        route listed_route;
+        listed_route.address = item.address;
+        listed_route.data_centre = item.data_centre;
+        listed_route.vm = item.vm;
+        this->list_backend(
+            std::move(listed_route), key_of_address(item.address));
     }
 }
 
-void target::list(route where, server_key server)
+void target::list_backend(route listed_route, server_key server)
 {
-    if (backend* known_one = this->find(where.replica, where.address))
+    if (backend* existing =
+            this->find(listed_route.replica, listed_route.address))
     {
-        known_one->where = std::move(where);
-        known_one->listed = true;
+        existing->where = std::move(listed_route);
+        existing->listed = true;
         return;
     }
     backend added;
-    added.where = std::move(where);
+    added.where = std::move(listed_route);
     added.server = server;
     this->backends.push_back(std::move(added));
     this->breaker.close();
@@ -92,9 +94,9 @@
 
 void target::mark_leaving(const leaving_vms& leaving)
 {
-    for (backend& one : this->backends)
+    for (backend& item : this->backends)
     {
-        one.leaving = leaving.contains(one.where.vm);
+        item.leaving = leaving.contains(item.where.vm);
     }
 }
 
@@ -103,9 +105,10 @@
     const auto found = std::find_if(
         this->backends.begin(),
         this->backends.end(),
-        [replica, address](const backend& one)
+        [replica, address](const backend& item)
         {
-            return one.where.replica == replica && one.where.address == address;
+            return item.where.replica == replica &&
+                   item.where.address == address;
         });
     return found == this->backends.end() ? nullptr : &*found;
 }
@@ -114,9 +117,9 @@
 {
     std::erase_if(
         this->backends,
-        [](const backend& one)
+        [](const backend& item)
         {
-            return !one.listed && one.in_flight == 0;
+            return !item.listed && item.in_flight == 0;
         });
 }
 
@@ -136,8 +139,9 @@
             total += loads.limit(server, streams, now);
         }
     }
-    const std::size_t kept = batch ? kept_for_better(this->max_streams) : 0;
-    return total > kept ? total - kept : total;
+    const std::size_t reserved_slots =
+        batch ? kept_for_better(this->max_streams) : 0;
+    return total > reserved_slots ? total - reserved_slots : total;
 }
 
 } // namespace roseworks::detail
--- a/src/core/request/target.hpp
+++ b/src/core/request/target.hpp
@@ -82,7 +82,7 @@
     /// When a target without replicas is expected to be ready; empty: unknown.
     std::optional<instant> expected_ready;
     std::uint64_t generation = 0; ///< of the table last applied
-    bool known = false;           ///< the table contains it
+    bool in_table = false;        ///< the table contains it
 
     admission_queue queue;
     /// Suspect requests that wait to run alone on a server, oldest first.
@@ -102,9 +102,9 @@
     instant last_used;
 
 private:
-    void take(const servable_routes& entry);
-    void take(const service_routes& entry);
-    void list(route where, server_key server);
+    void apply(const servable_routes& entry);
+    void apply(const service_routes& entry);
+    void list_backend(route listed_route, server_key server);
 };
 
 } // namespace roseworks::detail
--- a/tests/unit/dispatch/test_progress.cpp
+++ b/tests/unit/dispatch/test_progress.cpp
@@ -59,7 +59,7 @@
     cr_assert(
         progress.first_byte_limit(
             work("scan"), connection_kind::kept, ceiling) ==
-        progress_estimator::floor);
+        progress_estimator::min_limit);
 }
 
 // A server that has become slow isn't given up at the old pace over and over.
@@ -92,7 +92,7 @@
 {
     progress_estimator progress;
     learn(progress, work("first"), 100ms);
-    for (std::size_t i = 0; i < progress_estimator::most_kinds; ++i)
+    for (std::size_t i = 0; i < progress_estimator::max_entries; ++i)
     {
         const std::string name = "model-" + std::to_string(i);
         progress.answered(work(name), 100ms, start + 1s);
@@ -109,7 +109,7 @@
     instant now = start;
     for (int i = 0; i < 10; ++i)
         pace.event(now += 30ms);
-    cr_assert(pace.limit(10s) == stream_pace::floor);
+    cr_assert(pace.limit(10s) == stream_pace::min_limit);
     for (int i = 0; i < 60; ++i)
         pace.event(now += 600ms);
     cr_assert(pace.limit(10s) >= 4s && pace.limit(10s) < 10s);
--- a/tests/unit/dispatch/test_shared_retry_budget.cpp
+++ b/tests/unit/dispatch/test_shared_retry_budget.cpp
@@ -53,12 +53,12 @@
     for (int request = 0; request < 10; ++request)
         budget.requested(at(0s));
     cr_assert_eq(withdrawn(budget, 1), 5);
-    cr_assert_eq(budget.left(1, at(8900ms)), 0);
+    cr_assert_eq(budget.available(1, at(8900ms)), 0);
     for (int request = 0; request < 4; ++request)
         budget.requested(at(9500ms));
     // What was counted at the start is over by then.
-    cr_assert_eq(budget.left(1, at(10500ms)), 2);
-    cr_assert_eq(budget.left(1, at(60s)), 0);
+    cr_assert_eq(budget.available(1, at(10500ms)), 2);
+    cr_assert_eq(budget.available(1, at(60s)), 0);
 }
 
 Test(shared_retry_budget, some_is_kept_back_for_other_windows)
