--- a/tests/unit/dispatch/harness.hpp
+++ b/tests/unit/dispatch/harness.hpp
@@ -17,7 +17,8 @@
 
 using namespace std::chrono_literals;
 
-/// A dispatcher on virtual time, with a table that the test edits.
+/// A dispatcher with a virtual clock and a routing table that the test edits.
+/// Records all commands of the dispatcher.
 class harness
 {
 public:
@@ -26,8 +27,10 @@
     {
     }
 
-    /// Declares a model with ready replicas on engines `first`, `first + 1`...
-    /// on VMs of the same number, addresses 10.0.0.<engine>:80.
+    /// Adds or replaces a model with ready replicas on engines `first`,
+    /// `first + 1` and so on. Each engine runs on the VM of the same number and
+    /// has the address 10.0.0.<engine>:80. Its data centre is "odd" or "even",
+    /// after its number.
     void model(
         const std::string& name,
         std::uint32_t id,
@@ -102,7 +105,7 @@
         return outcome;
     }
 
-    /// A stream of which its caller has a part breaks.
+    /// Ends an attempt whose stream broke after the caller had received a part.
     dispatcher::finish cut(ticket id, bool resumable, std::uint32_t tokens = 1)
     {
         attempt_result result;
@@ -115,7 +118,7 @@
         return outcome;
     }
 
-    /// What the last server seen to break its connection is found to be.
+    /// Reports the result of examining the server of the last `crash_seen`.
     void examined(crash_finding finding)
     {
         const crash_seen last = this->crashes.back();
@@ -123,7 +126,7 @@
         this->collect();
     }
 
-    /// An engine names a rate limit; 0: it names none any more.
+    /// Sets the rate limit of an engine; 0: no limit.
     void limit(std::uint32_t engine, double per_second)
     {
         this->core.server_limited(
@@ -185,7 +188,7 @@
         return this->grants.contains(id);
     }
 
-    /// @return The engine of its last grant, 0 without one.
+    /// @return The engine of the request's last grant; 0 if there is none.
     std::uint32_t engine(ticket id) const
     {
         const auto found = this->grants.find(id);
@@ -200,7 +203,7 @@
                                              : found->second.front().reason;
     }
 
-    /// Gives callers named `urgent` the right to urgent work.
+    /// Allows the default caller to send urgent requests.
     void allow_urgent()
     {
         caller_spec spec;
@@ -209,7 +212,7 @@
         this->publish();
     }
 
-    /// Occupies the only slot of a model of one stream.
+    /// Adds a model with a single slot and starts a request that occupies it.
     ticket occupy()
     {
         this->model("m", 1, 1);
--- a/tests/unit/dispatch/test_admission.cpp
+++ b/tests/unit/dispatch/test_admission.cpp
@@ -18,14 +18,14 @@
     cr_assert(test.order == std::vector({running, urgent, normal, batch}));
 }
 
-Test(admission, class_is_capped_by_the_callers)
+Test(admission, priority_is_capped_by_the_callers_spec)
 {
     harness test;
     const ticket running = test.occupy();
-    request_info stranger = test.info(priority::urgent);
-    stranger.caller = "stranger"; // no record: normal at most
-    stranger.deadline -= 10min;
-    const ticket capped = test.submit(stranger);
+    request_info unlisted = test.info(priority::urgent);
+    unlisted.caller = "stranger"; // no record: normal at most
+    unlisted.deadline -= 10min;
+    const ticket capped = test.submit(unlisted);
     const ticket urgent = test.submit(priority::urgent);
     test.finish(running);
     cr_assert(test.granted(urgent));
@@ -45,7 +45,7 @@
     cr_assert(not test.granted(late));
 }
 
-Test(admission, one_callers_backlog_does_not_hold_up_another)
+Test(admission, one_callers_backlog_does_not_delay_another)
 {
     harness test;
     const ticket running = test.occupy();
@@ -61,7 +61,7 @@
     const ticket waits = test.submit(other);
     test.finish(running);
     test.finish(test.order.back());
-    cr_assert(test.granted(waits), "served among the first two");
+    cr_assert(test.granted(waits), "must be among the first two");
 }
 
 Test(admission, callers_share_by_weight)
@@ -93,21 +93,21 @@
     cr_assert(heavy_grants >= 28 && heavy_grants <= 33, "%ld", heavy_grants);
 }
 
-Test(admission, coming_back_for_more_does_not_starve_a_backlog)
+Test(admission, a_caller_that_resubmits_does_not_starve_another)
 {
     harness test;
     const ticket running = test.occupy();
-    const ticket patient = test.submit();
-    request_info eager = test.info();
-    eager.caller = "eager";
-    test.submit(eager);
+    const ticket waiting = test.submit();
+    request_info resubmitted = test.info();
+    resubmitted.caller = "eager";
+    test.submit(resubmitted);
     test.finish(running);
-    for (int i = 0; i < 4 && !test.granted(patient); ++i)
+    for (int i = 0; i < 4 && !test.granted(waiting); ++i)
     {
-        test.submit(eager);
+        test.submit(resubmitted);
         test.finish(test.order.back());
     }
-    cr_assert(test.granted(patient));
+    cr_assert(test.granted(waiting));
 }
 
 Test(admission, batch_work_does_not_starve)
@@ -129,7 +129,7 @@
     cr_assert(urgent_done <= 70, "%d", urgent_done);
 }
 
-Test(admission, aged_batch_work_takes_only_its_share_from_urgent)
+Test(admission, aged_batch_work_takes_only_its_share_of_grants)
 {
     harness test;
     test.occupy();
@@ -164,12 +164,12 @@
     test.model("m", 1, 1, 4);
     request_info longer = test.info();
     longer.prompt_bytes = 100'000;
-    longer.deadline -= 30min; // they would all go first
+    longer.deadline -= 30min; // would all go first without the rule
     std::vector<ticket> running;
     for (int i = 0; i < 4; ++i)
     {
         running.push_back(test.submit(longer));
-        cr_assert(test.granted(running.back()), "alone they take all");
+        cr_assert(test.granted(running.back()), "no short prompt waits");
     }
     for (int i = 0; i < 10; ++i)
     {
@@ -215,7 +215,7 @@
     cr_assert(test.granted(test.submit(priority::urgent)));
 }
 
-Test(admission, replicas_of_one_stream_serve_batch_work_with_all)
+Test(admission, single_stream_replicas_all_serve_batch_work)
 {
     harness test;
     test.model("m", 1, 2);
--- a/tests/unit/dispatch/test_crash_ledger.cpp
+++ b/tests/unit/dispatch/test_crash_ledger.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-Test(crash_ledger, two_servers_lost_under_a_request_block_it)
+Test(crash_ledger, a_request_that_crashed_two_servers_is_blocked)
 {
     crash_ledger ledger = make_ledger();
     ledger.broke(bad, "e1", at(0s));
@@ -34,7 +34,7 @@
     cr_assert(ledger.blocked().contains(bad));
 }
 
-Test(crash_ledger, broken_connections_alone_block_nothing)
+Test(crash_ledger, broken_connections_alone_do_not_block)
 {
     crash_ledger ledger = make_ledger();
     for (const char* server : {"e1", "e2", "e3", "e4"})
@@ -53,7 +53,7 @@
     }
 }
 
-Test(crash_ledger, others_that_ran_there_once_are_not_blocked)
+Test(crash_ledger, a_request_that_ran_on_one_crashed_server_is_not_blocked)
 {
     crash_ledger ledger = make_ledger();
     ledger.broke(bad, "e1", at(0s));
@@ -65,7 +65,7 @@
     cr_assert_not(ledger.blocked().contains(other));
 }
 
-Test(crash_ledger, a_server_lost_long_after_the_break_says_nothing)
+Test(crash_ledger, a_server_lost_long_after_the_break_does_not_count)
 {
     crash_ledger ledger = make_ledger();
     ledger.broke(bad, "e1", at(0s));
@@ -74,7 +74,7 @@
     cr_assert_not(ledger.server_lost("e2", at(11s)));
 }
 
-Test(crash_ledger, a_block_ends)
+Test(crash_ledger, a_block_expires)
 {
     crash_ledger ledger = make_ledger();
     ledger.broke(bad, "e1", at(0s));
--- a/tests/unit/dispatch/test_limited_servers.cpp
+++ b/tests/unit/dispatch/test_limited_servers.cpp
@@ -6,17 +6,17 @@
 namespace
 {
 
-/// A model of one engine that takes two requests a second.
-struct lone_engine : harness
+/// A model on one engine that is limited to two requests per second.
+struct single_engine : harness
 {
-    lone_engine()
+    single_engine()
     {
         this->model("m", 1, 1, 8);
         this->limit(1, 2);
     }
 };
 
-/// A model of two engines, of which the first is limited.
+/// A model on two engines. The first is limited to two requests per second.
 struct two_engines : harness
 {
     two_engines()
@@ -26,18 +26,18 @@
     }
 };
 
-request_info with_patience(const harness& test, duration patience)
+request_info with_timeout(const harness& test, duration timeout)
 {
     request_info made = test.info();
-    made.deadline = test.now + patience;
+    made.deadline = test.now + timeout;
     return made;
 }
 
 } // namespace
 
-Test(limited_servers, a_request_waits_for_a_permit_where_there_is_no_other)
+Test(limited_servers, a_request_waits_for_a_permit_without_another_server)
 {
-    lone_engine test;
+    single_engine test;
     const ticket id = test.submit();
     cr_assert_not(test.granted(id));
     cr_assert_eq(test.permits.size(), 1U);
@@ -47,9 +47,9 @@
     cr_assert(test.granted(id));
 }
 
-Test(limited_servers, one_request_is_sent_under_a_permit)
+Test(limited_servers, one_request_is_sent_per_permit)
 {
-    lone_engine test;
+    single_engine test;
     const ticket first = test.submit();
     const ticket second = test.submit();
     test.allow(1);
@@ -60,9 +60,9 @@
     cr_assert(test.granted(second));
 }
 
-Test(limited_servers, a_permit_that_counts_later_is_waited_for)
+Test(limited_servers, a_request_waits_until_its_permit_is_valid)
 {
-    lone_engine test;
+    single_engine test;
     const ticket id = test.submit();
     test.allow(1, 200ms);
     test.tick(199ms);
@@ -73,9 +73,9 @@
     cr_assert(test.granted(id));
 }
 
-Test(limited_servers, a_refused_permit_is_asked_for_again_when_it_is_time)
+Test(limited_servers, a_refused_permit_is_requested_again_after_the_delay)
 {
-    lone_engine test;
+    single_engine test;
     test.submit();
     test.deny(1, 300ms);
     test.tick(299ms);
@@ -84,9 +84,9 @@
     cr_assert_eq(test.permits.size(), 2U);
 }
 
-Test(limited_servers, an_ask_that_is_never_answered_is_made_again)
+Test(limited_servers, an_unanswered_permit_request_is_repeated)
 {
-    lone_engine test;
+    single_engine test;
     test.submit();
     test.tick(999ms);
     cr_assert_eq(test.permits.size(), 1U);
@@ -94,7 +94,7 @@
     cr_assert_eq(test.permits.size(), 2U);
 }
 
-Test(limited_servers, a_request_goes_to_another_server_without_a_permit)
+Test(limited_servers, a_request_without_a_permit_goes_to_another_server)
 {
     two_engines test;
     const ticket id = test.submit();
@@ -104,7 +104,7 @@
     cr_assert_eq(test.engine(id), 2U);
 }
 
-Test(limited_servers, a_request_does_not_wait_long_for_the_answer_to_an_ask)
+Test(limited_servers, the_wait_for_a_permit_answer_is_bounded)
 {
     two_engines test;
     const ticket id = test.submit();
@@ -113,7 +113,7 @@
     cr_assert_eq(test.engine(id), 2U);
 }
 
-Test(limited_servers, a_permit_at_hand_is_used)
+Test(limited_servers, an_available_permit_is_used)
 {
     two_engines test;
     const ticket id = test.submit();
@@ -121,7 +121,7 @@
     cr_assert_eq(test.engine(id), 1U);
 }
 
-Test(limited_servers, while_an_ask_is_out_others_go_elsewhere_at_once)
+Test(limited_servers, only_one_request_waits_for_a_permit_answer)
 {
     two_engines test;
     test.submit();
@@ -130,7 +130,7 @@
     cr_assert_eq(test.permits.size(), 1U);
 }
 
-Test(limited_servers, a_permit_that_was_taken_back_lets_nothing_through)
+Test(limited_servers, a_withdrawn_permit_is_not_used)
 {
     two_engines test;
     test.allow(1);
@@ -141,12 +141,12 @@
     cr_assert_eq(test.engine(id), 2U);
 }
 
-Test(limited_servers, a_request_that_its_turn_comes_too_late_for_is_refused)
+Test(limited_servers, a_request_whose_permit_would_come_too_late_is_refused)
 {
-    lone_engine test;
-    const ticket first = test.submit(with_patience(test, 1s));
-    const ticket second = test.submit(with_patience(test, 1s));
-    const ticket last = test.submit(with_patience(test, 1s));
+    single_engine test;
+    const ticket first = test.submit(with_timeout(test, 1s));
+    const ticket second = test.submit(with_timeout(test, 1s));
+    const ticket last = test.submit(with_timeout(test, 1s));
     cr_assert_eq(test.refused(first), refusal_reason::none);
     cr_assert_eq(test.refused(second), refusal_reason::none);
     cr_assert_eq(test.refused(last), refusal_reason::deadline);
@@ -154,10 +154,11 @@
     cr_assert_geq(retry, duration(1s));
 }
 
-/// Turns of this router among others are longer than the limit says.
-Test(limited_servers, how_long_a_turn_takes_is_observed)
+/// Other routers use permits as well, so this router waits longer for one than
+/// the limit implies.
+Test(limited_servers, the_time_between_permits_is_measured)
 {
-    lone_engine test;
+    single_engine test;
     for (int i = 0; i < 6; ++i)
     {
         test.submit();
@@ -168,13 +169,13 @@
         }
         test.allow(1);
     }
-    const ticket last = test.submit(with_patience(test, 1500ms));
+    const ticket last = test.submit(with_timeout(test, 1500ms));
     cr_assert_eq(test.refused(last), refusal_reason::deadline);
 }
 
-Test(limited_servers, the_end_of_the_limit_lets_all_through)
+Test(limited_servers, the_end_of_the_limit_starts_all_requests)
 {
-    lone_engine test;
+    single_engine test;
     const ticket first = test.submit();
     const ticket second = test.submit();
     test.limit(1, 0);
@@ -183,9 +184,9 @@
     cr_assert(test.granted(test.submit()));
 }
 
-Test(limited_servers, a_retry_takes_a_permit_too)
+Test(limited_servers, a_retry_needs_a_permit)
 {
-    lone_engine test;
+    single_engine test;
     const ticket id = test.submit();
     test.allow(1);
     test.finish(id, attempt_result::end::refused_not_run);
@@ -195,9 +196,9 @@
     cr_assert_eq(test.grants.at(id).size(), 2U);
 }
 
-Test(limited_servers, another_engine_is_wanted_for_what_waits)
+Test(limited_servers, waiting_requests_cause_demand_for_another_engine)
 {
-    lone_engine test;
+    single_engine test;
     test.submit();
     test.tick(60ms);
     cr_assert_not(test.demands.empty());
@@ -207,17 +208,17 @@
 namespace
 {
 
-/// Two models on one limited engine, of which `m` was asked for first.
-struct two_models : lone_engine
+/// Two models on one limited engine. `m` receives requests first.
+struct two_models : single_engine
 {
     two_models()
     {
         this->model("rare", 2, 1, 8);
     }
 
-    ticket submit_rare(duration patience)
+    ticket submit_rare(duration timeout)
     {
-        request_info info = with_patience(*this, patience);
+        request_info info = with_timeout(*this, timeout);
         info.target = "rare";
         return this->submit(std::move(info));
     }
@@ -225,22 +226,23 @@
 
 } // namespace
 
-/// A model that is asked for all the time took each permit before.
-Test(limited_servers, a_permit_goes_to_whose_deadline_is_nearest)
+/// Guards against a busy model that takes all permits of an engine, so that
+/// requests of other models there never start.
+Test(limited_servers, a_permit_goes_to_the_earliest_deadline)
 {
     two_models test;
-    const ticket busy = test.submit(with_patience(test, 10s));
+    const ticket busy = test.submit(with_timeout(test, 10s));
     const ticket rare = test.submit_rare(5s);
     test.allow(1);
     cr_assert(test.granted(rare));
     cr_assert_not(test.granted(busy));
 }
 
-Test(limited_servers, requests_of_other_models_there_are_waited_for_too)
+Test(limited_servers, the_predicted_wait_includes_other_models_of_the_server)
 {
     two_models test;
     for (int i = 0; i < 8; ++i)
-        test.submit(with_patience(test, 10s));
+        test.submit(with_timeout(test, 10s));
     const ticket rare = test.submit_rare(2s);
     cr_assert_eq(test.refused(rare), refusal_reason::deadline);
 }
--- a/tests/unit/dispatch/test_outlooks.cpp
+++ b/tests/unit/dispatch/test_outlooks.cpp
@@ -15,11 +15,12 @@
 namespace
 {
 
-/// A table whose models that are nowhere can be ready at a known time.
-class foreseen_table final : public routing_table
+/// A routing table that gives a fixed time for when models without replicas
+/// become ready.
+class fixed_ready_table final : public routing_table
 {
 public:
-    foreseen_table(routing_table_ptr rest, std::optional<instant> when)
+    fixed_ready_table(routing_table_ptr rest, std::optional<instant> when)
         : base(std::move(rest))
         , ready(when)
     {
@@ -75,72 +76,76 @@
     std::optional<instant> ready;
 };
 
-/// A model that is nowhere, and can be ready after some time.
-void expect_in(harness& test, std::optional<duration> wait)
+/// Adds a model without replicas that is expected to be ready after `wait`;
+/// empty: the time is unknown.
+void expect_ready_in(harness& test, std::optional<duration> wait)
 {
     test.model("m", 1, 0);
     std::optional<instant> when;
     if (wait)
         when = test.now + *wait;
     test.core.table_changed(
-        std::make_shared<foreseen_table>(test.table.publish(), when), test.now);
+        std::make_shared<fixed_ready_table>(test.table.publish(), when),
+        test.now);
     test.collect();
 }
 
-request_info patient_for(const harness& test, duration patience)
+request_info with_timeout(const harness& test, duration timeout)
 {
     request_info request = test.info();
-    request.deadline = test.now + patience;
+    request.deadline = test.now + timeout;
     return request;
 }
 
 } // namespace
 
-/// After a release a model comes from the store in 6 s or more: callers who
-/// leave after 3.2 s were held for 3.1 s each, and refused then.
-Test(outlooks, who_leaves_before_the_model_can_be_there_is_refused_at_once)
+/// Guards against holding requests that can't succeed. After a release, loading
+/// a model from the store takes 6 s or more. Callers with a time-out of 3.2 s
+/// waited for 3.1 s and were refused then.
+Test(expected_ready_time, a_request_with_an_earlier_deadline_is_refused_at_once)
 {
     harness test;
-    expect_in(test, 6s);
-    const ticket id = test.submit(patient_for(test, 3s));
+    expect_ready_in(test, 6s);
+    const ticket id = test.submit(with_timeout(test, 3s));
     cr_assert(test.refusals.contains(id));
     cr_assert_geq(test.refusals.at(id).front().retry_after, duration(6s));
     cr_assert(test.refusals.at(id).front().outcome == verdict::not_run);
 }
 
-Test(outlooks, who_can_wait_for_it_is_kept)
+Test(expected_ready_time, a_request_with_a_later_deadline_waits)
 {
     harness test;
-    expect_in(test, 6s);
-    const ticket id = test.submit(patient_for(test, 17s));
+    expect_ready_in(test, 6s);
+    const ticket id = test.submit(with_timeout(test, 17s));
     test.tick(4s);
     cr_assert_not(test.refusals.contains(id));
 }
 
-/// Placement still has to know that somebody asked.
-Test(outlooks, a_refused_request_is_asked_for_all_the_same)
+/// Placement needs the demand even if the request was refused.
+Test(expected_ready_time, a_refused_request_still_sends_demand)
 {
     harness test;
-    expect_in(test, 6s);
-    test.submit(patient_for(test, 3s));
+    expect_ready_in(test, 6s);
+    test.submit(with_timeout(test, 3s));
     cr_assert_eq(test.demands.size(), 1);
 }
 
-/// Its load is put behind others: those who can't wait so long learn it.
-Test(outlooks, a_later_outlook_refuses_those_who_wait)
+/// The time moves when other loads are scheduled first. Requests that can't
+/// wait that long are refused.
+Test(expected_ready_time, a_later_time_refuses_waiting_requests)
 {
     harness test;
-    expect_in(test, 6s);
-    const ticket id = test.submit(patient_for(test, 8s));
+    expect_ready_in(test, 6s);
+    const ticket id = test.submit(with_timeout(test, 8s));
     cr_assert_not(test.refusals.contains(id));
-    expect_in(test, 12s);
+    expect_ready_in(test, 12s);
     cr_assert(test.refusals.contains(id));
 }
 
-Test(outlooks, without_one_the_estimate_counts)
+Test(expected_ready_time, without_a_time_the_load_estimate_is_used)
 {
     harness test;
-    expect_in(test, std::nullopt);
-    cr_assert(test.refusals.contains(test.submit(patient_for(test, 9s))));
-    cr_assert_not(test.refusals.contains(test.submit(patient_for(test, 11s))));
+    expect_ready_in(test, std::nullopt);
+    cr_assert(test.refusals.contains(test.submit(with_timeout(test, 9s))));
+    cr_assert_not(test.refusals.contains(test.submit(with_timeout(test, 11s))));
 }
--- a/tests/unit/dispatch/test_prefix_affinity.cpp
+++ b/tests/unit/dispatch/test_prefix_affinity.cpp
@@ -26,8 +26,8 @@
     return report;
 }
 
-/// A map of engine 1 alone.
-struct map_bench
+/// A prefix map that receives the reports of engine 1.
+struct map_fixture
 {
     void report(std::uint64_t from, std::vector<cache_event> events)
     {
@@ -50,8 +50,8 @@
     return request;
 }
 
-/// @return The engine that a prefix hashes to, of those of model `m`.
-std::uint32_t home_of(harness& test, std::uint64_t prefix = prompt)
+/// @return The engine of model `m` that the prefix hashes to.
+std::uint32_t hashed_engine(harness& test, std::uint64_t prefix = prompt)
 {
     const ticket id = test.submit(with_prefix(test, prefix));
     test.finish(id);
@@ -60,78 +60,79 @@
 
 } // namespace
 
-Test(prefix_map, a_gap_makes_stale_what_no_later_event_names)
+Test(prefix_map, a_gap_makes_entries_stale_until_reported_again)
 {
-    map_bench bench;
-    bench.report(0, {{7, 100, true}, {8, 200, true}});
-    cr_expect(bench.find(100) == knowledge::fresh, "the first number is free");
-    bench.report(9, {{10, 300, true}, {11, 200, true}, {12, 300, false}});
-    cr_expect(bench.find(100) == knowledge::stale);
-    cr_expect(bench.find(200) == knowledge::fresh, "resynchronised");
-    cr_expect(bench.find(300) == knowledge::none);
+    map_fixture fixture;
+    fixture.report(0, {{7, 100, true}, {8, 200, true}});
+    cr_expect(
+        fixture.find(100) == knowledge::fresh, "any first number is valid");
+    fixture.report(9, {{10, 300, true}, {11, 200, true}, {12, 300, false}});
+    cr_expect(fixture.find(100) == knowledge::stale);
+    cr_expect(fixture.find(200) == knowledge::fresh, "resynchronised");
+    cr_expect(fixture.find(300) == knowledge::none);
 
     cache_report tail = report_of(13, {}, 1);
     tail.next = 14;
-    bench.map.reported(tail, bench.now);
-    cr_expect(bench.find(200) == knowledge::stale, "the last one is missing");
+    fixture.map.reported(tail, fixture.now);
+    cr_expect(fixture.find(200) == knowledge::stale, "the last one is missing");
 }
 
-Test(prefix_map, events_seen_before_change_nothing)
+Test(prefix_map, repeated_events_are_ignored)
 {
-    map_bench bench;
-    bench.report(0, {{1, 100, true}, {2, 100, false}, {3, 200, true}});
-    bench.report(2, {{1, 100, true}, {3, 200, true}, {4, 300, true}});
-    cr_expect(bench.find(100) == knowledge::none);
-    cr_expect(bench.find(200) == knowledge::fresh);
-    cr_expect(bench.find(300) == knowledge::fresh);
+    map_fixture fixture;
+    fixture.report(0, {{1, 100, true}, {2, 100, false}, {3, 200, true}});
+    fixture.report(2, {{1, 100, true}, {3, 200, true}, {4, 300, true}});
+    cr_expect(fixture.find(100) == knowledge::none);
+    cr_expect(fixture.find(200) == knowledge::fresh);
+    cr_expect(fixture.find(300) == knowledge::fresh);
 }
 
-Test(prefix_map, a_restart_voids_and_silence_makes_stale)
+Test(prefix_map, a_restart_clears_entries_and_silence_makes_them_stale)
 {
-    map_bench bench;
-    bench.report(0, {{1, 100, true}, {2, 200, true}});
-    bench.now += 31s;
-    cr_expect(bench.find(100) == knowledge::stale);
-    bench.report(3, {});
-    cr_expect(bench.find(100) == knowledge::fresh, "nothing was missed");
+    map_fixture fixture;
+    fixture.report(0, {{1, 100, true}, {2, 200, true}});
+    fixture.now += 31s;
+    cr_expect(fixture.find(100) == knowledge::stale);
+    fixture.report(3, {});
+    cr_expect(fixture.find(100) == knowledge::fresh, "nothing was missed");
 
     cache_report back = report_of(3, {}, 1);
     back.next = 1;
-    bench.map.reported(back, bench.now);
-    cr_expect(bench.find(100) == knowledge::none, "numbers went back");
+    fixture.map.reported(back, fixture.now);
+    cr_expect(fixture.find(100) == knowledge::none, "numbers went back");
 
-    bench.report(0, {{1, 100, true}});
+    fixture.report(0, {{1, 100, true}});
     cache_report other = report_of(2, {}, 1);
     other.incarnation = 2;
-    bench.map.reported(other, bench.now);
-    cr_expect(bench.find(100) == knowledge::none, "another incarnation");
+    fixture.map.reported(other, fixture.now);
+    cr_expect(fixture.find(100) == knowledge::none, "another incarnation");
 
-    bench.report(0, {{1, 100, true}});
-    bench.now += 10min;
-    bench.map.reported(report_of(0, {}, 2), bench.now);
-    cr_expect(bench.map.size() == 0, "forgotten");
+    fixture.report(0, {{1, 100, true}});
+    fixture.now += 10min;
+    fixture.map.reported(report_of(0, {}, 2), fixture.now);
+    cr_expect(fixture.map.size() == 0, "expired");
 }
 
-Test(prefix_map, is_bounded_by_engine_and_altogether)
+Test(prefix_map, is_bounded_per_engine_and_in_total)
 {
     detail::prefix_map::options options;
     options.max_per_engine = 2;
     options.max_prefixes = 3;
-    map_bench bench{detail::prefix_map(options)};
-    bench.report(
+    map_fixture fixture{detail::prefix_map(options)};
+    fixture.report(
         0, {{1, 100, true}, {2, 200, true}, {3, 100, true}, {4, 300, true}});
-    cr_expect(bench.find(100) == knowledge::fresh);
-    cr_expect(bench.find(200) == knowledge::none, "least recently reported");
-    bench.map.reported(
-        report_of(0, {{1, 100, true}, {2, 200, true}}, 2), bench.now);
-    cr_expect(bench.map.size() == 3);
-    cr_expect(bench.map.find(2, 200, bench.now) == knowledge::fresh);
-    cr_expect(bench.map.find(2, 100, bench.now) == knowledge::none);
-    bench.map.reported(report_of(0, {{1, 100, true}}, 3), bench.now);
-    cr_expect(bench.map.size() == 3, "no room for another engine's");
+    cr_expect(fixture.find(100) == knowledge::fresh);
+    cr_expect(fixture.find(200) == knowledge::none, "least recently reported");
+    fixture.map.reported(
+        report_of(0, {{1, 100, true}, {2, 200, true}}, 2), fixture.now);
+    cr_expect(fixture.map.size() == 3);
+    cr_expect(fixture.map.find(2, 200, fixture.now) == knowledge::fresh);
+    cr_expect(fixture.map.find(2, 100, fixture.now) == knowledge::none);
+    fixture.map.reported(report_of(0, {{1, 100, true}}, 3), fixture.now);
+    cr_expect(fixture.map.size() == 3, "no room for another engine's");
 }
 
-Test(prefix_affinity, alike_engine_and_replica_numbers_share_the_prefixes)
+Test(prefix_affinity, equal_engine_and_replica_ids_spread_the_prefixes)
 {
     harness test;
     servable_routes entry;
@@ -143,18 +144,18 @@
             {replica_id(i), engine_id(i), "10.0.0.1:80", "here", "vm"});
     test.table.put(entry);
     test.publish();
-    std::multiset<std::uint32_t> homes;
+    std::multiset<std::uint32_t> selected;
     for (std::uint64_t prefix = 1; prefix <= 400; ++prefix)
-        homes.insert(home_of(test, prefix));
+        selected.insert(hashed_engine(test, prefix));
     for (std::uint32_t i = 1; i <= 4; ++i)
-        cr_expect(homes.count(i) >= 60 && homes.count(i) <= 140);
+        cr_expect(selected.count(i) >= 60 && selected.count(i) <= 140);
 }
 
-Test(prefix_affinity, goes_where_the_prefix_was_reported_within_the_load_bound)
+Test(prefix_affinity, prefers_the_reporting_engine_within_the_load_bound)
 {
     harness test;
     test.model("m", 1, 4, 16);
-    const std::uint32_t other = home_of(test) % 4 + 1;
+    const std::uint32_t other = hashed_engine(test) % 4 + 1;
     test.core.cache_reported(
         report_of(0, {{1, prompt, true}}, other), test.now);
     std::multiset<std::uint32_t> engines;
@@ -167,12 +168,12 @@
     cr_expect(engines.count(other) >= 5 && engines.count(other) <= 8);
 }
 
-Test(prefix_affinity, stale_knowledge_stands_back_behind_the_hash)
+Test(prefix_affinity, the_hash_takes_precedence_over_stale_reports)
 {
     harness test;
     test.model("m", 1, 4, 2);
-    const std::uint32_t home = home_of(test);
-    const std::uint32_t other = home % 4 + 1;
+    const std::uint32_t hashed = hashed_engine(test);
+    const std::uint32_t other = hashed % 4 + 1;
     test.core.cache_reported(
         report_of(0, {{1, prompt, true}}, other), test.now);
     test.core.cache_reported(report_of(2, {{3, 9, true}}, other), test.now);
@@ -181,15 +182,15 @@
         const ticket first = test.submit(with_prefix(test));
         const ticket second = test.submit(with_prefix(test));
         const ticket third = test.submit(with_prefix(test));
-        cr_expect(test.engine(first) == home);
-        cr_expect(test.engine(second) == home);
-        cr_expect(test.engine(third) == other, "the home is full");
+        cr_expect(test.engine(first) == hashed);
+        cr_expect(test.engine(second) == hashed);
+        cr_expect(test.engine(third) == other, "the hashed engine is full");
         for (const ticket id : {first, second, third})
             test.finish(id);
     }
 }
 
-Test(prefix_affinity, never_leads_to_a_leaving_or_ejected_replica)
+Test(prefix_affinity, never_selects_a_leaving_or_ejected_replica)
 {
     harness test;
     test.model("m", 1, 2, 4);
@@ -197,7 +198,7 @@
         test.core.cache_reported(
             report_of(0, {{1, prompt, true}}, engine), test.now);
     test.core.vm_leaving("vm1", true, test.now);
-    cr_expect(home_of(test) == 2);
+    cr_expect(hashed_engine(test) == 2);
     test.core.vm_leaving("vm1", false, test.now);
 
     for (int i = 0; i < 40; ++i)
--- a/tests/unit/dispatch/test_progress.cpp
+++ b/tests/unit/dispatch/test_progress.cpp
@@ -19,7 +19,8 @@
     return {target, false, 100, tokens};
 }
 
-void learn(progress_estimator& progress, work_kind what, duration first_byte)
+void record_answers(
+    progress_estimator& progress, work_kind what, duration first_byte)
 {
     for (int i = 0; i < 20; ++i)
         progress.answered(what, first_byte, start);
@@ -27,7 +28,7 @@
 
 } // namespace
 
-Test(progress, without_knowledge_the_setting_holds)
+Test(progress, without_enough_samples_the_limit_is_the_ceiling)
 {
     progress_estimator progress;
     progress.answered(work("agri-lm"), 100ms, start);
@@ -36,11 +37,11 @@
             work("agri-lm"), connection_kind::kept, ceiling) == ceiling);
 }
 
-Test(progress, limit_follows_what_the_work_takes)
+Test(progress, limit_depends_on_size_and_connection)
 {
     progress_estimator progress;
-    learn(progress, work("agri-lm"), 400ms);
-    learn(progress, work("agri-lm", 2000), 8s);
+    record_answers(progress, work("agri-lm"), 400ms);
+    record_answers(progress, work("agri-lm", 2000), 8s);
     const auto limit = [&](std::uint32_t tokens, connection_kind on)
     {
         return progress.first_byte_limit(work("agri-lm", tokens), on, ceiling);
@@ -52,21 +53,22 @@
     cr_assert(limit(2000, connection_kind::fresh) == ceiling);
 }
 
-Test(progress, fast_work_is_not_given_up_below_the_floor)
+Test(progress, limit_is_not_below_the_minimum)
 {
     progress_estimator progress;
-    learn(progress, work("scan"), 2ms);
+    record_answers(progress, work("scan"), 2ms);
     cr_assert(
         progress.first_byte_limit(
             work("scan"), connection_kind::kept, ceiling) ==
         progress_estimator::min_limit);
 }
 
-// A server that has become slow isn't given up at the old pace over and over.
+// Without the backoff, requests to a server that became slow would time out
+// again and again under the old limit.
 Test(progress, limit_doubles_until_an_answer_is_in_time)
 {
     progress_estimator progress;
-    learn(progress, work("agri-lm"), 100ms);
+    record_answers(progress, work("agri-lm"), 100ms);
     const auto limit = [&]
     {
         return progress.first_byte_limit(
@@ -79,19 +81,19 @@
     progress.answered(work("agri-lm"), 3s, start);
     cr_assert(limit() > 4 * first);
     progress.answered(work("agri-lm"), 100ms, start);
-    progress_estimator undoubted;
-    learn(undoubted, work("agri-lm"), 100ms);
-    undoubted.answered(work("agri-lm"), 3s, start);
-    undoubted.answered(work("agri-lm"), 100ms, start);
+    progress_estimator reference;
+    record_answers(reference, work("agri-lm"), 100ms);
+    reference.answered(work("agri-lm"), 3s, start);
+    reference.answered(work("agri-lm"), 100ms, start);
     cr_assert(
-        limit() == undoubted.first_byte_limit(
+        limit() == reference.first_byte_limit(
                        work("agri-lm"), connection_kind::kept, ceiling));
 }
 
-Test(progress, kinds_remembered_are_bounded)
+Test(progress, number_of_estimates_is_bounded)
 {
     progress_estimator progress;
-    learn(progress, work("first"), 100ms);
+    record_answers(progress, work("first"), 100ms);
     for (std::size_t i = 0; i < progress_estimator::max_entries; ++i)
     {
         const std::string name = "model-" + std::to_string(i);
@@ -102,7 +104,7 @@
             work("first"), connection_kind::kept, ceiling) == ceiling);
 }
 
-Test(progress, pace_of_a_stream_bounds_its_silence)
+Test(progress, event_limit_follows_the_gaps_of_the_stream)
 {
     stream_pace pace;
     cr_assert(pace.limit(10s) == 10s);
@@ -115,7 +117,7 @@
     cr_assert(pace.limit(10s) >= 4s && pace.limit(10s) < 10s);
 }
 
-Test(position, joins_only_the_very_next_event_of_the_same_generation)
+Test(position, a_run_continues_with_the_next_event_of_the_same_generation)
 {
     stream_position position;
     cr_assert(position.begin("\"a\""));
@@ -137,7 +139,7 @@
     cr_assert(!position.resumable());
 }
 
-Test(position, refuses_a_missing_and_a_doubled_event)
+Test(position, refuses_a_missing_or_duplicate_event)
 {
     for (const char* id : {"0", "1", "3", "", "2x", "-2"})
     {
@@ -151,7 +153,7 @@
     }
 }
 
-Test(position, streams_without_tag_or_numbers_are_passed_but_not_resumed)
+Test(position, streams_without_tag_or_ids_are_passed_on_but_not_resumable)
 {
     stream_position untagged;
     cr_assert(untagged.begin(""));
@@ -164,7 +166,7 @@
     cr_assert(!unnumbered.resumable());
 }
 
-Test(position, run_without_an_event_is_forgotten)
+Test(position, a_run_without_events_is_not_continued)
 {
     stream_position position;
     position.begin("\"a\"");
--- a/tests/unit/dispatch/test_promises.cpp
+++ b/tests/unit/dispatch/test_promises.cpp
@@ -14,7 +14,8 @@
 namespace
 {
 
-/// Random events against a dispatcher, and the book that proves its promises.
+/// Sends random events to a dispatcher. Tracks the state of each request and
+/// asserts the guarantees of the dispatcher after each event.
 class random_run
 {
 public:
@@ -70,7 +71,8 @@
         this->settle();
     }
 
-    /// Ends everything; every ticket must have had its one final answer.
+    /// Drains the dispatcher and ends all attempts. Asserts that every ticket
+    /// received its final answer.
     void finish()
     {
         this->test.core.drain(this->test.now);
@@ -201,7 +203,7 @@
             this->test.table.publish(), this->test.now);
     }
 
-    /// Checks the commands that came, in order.
+    /// Checks the commands since the last call against the tracked state.
     void settle()
     {
         this->test.collect();
@@ -231,15 +233,15 @@
     }
 
     harness test;
-    std::set<ticket> open;    ///< no final answer yet
-    std::set<ticket> running; ///< granted
+    std::set<ticket> open;    ///< without a final answer so far
+    std::set<ticket> running; ///< granted, attempt not ended
     std::set<ticket> once;    ///< not repeatable
-    std::set<ticket> reached; ///< an attempt may have run
+    std::set<ticket> reached; ///< an attempt may have reached a server
 };
 
 } // namespace
 
-Test(promises, one_final_answer_each_and_no_second_run)
+Test(guarantees, one_final_answer_each_and_no_second_run)
 {
     setenv("RC_PARAMS", "seed=20240607 max_success=300 max_size=400", 1);
     const bool held = rc::check(
@@ -258,7 +260,7 @@
     cr_assert(held);
 }
 
-Test(promises, same_events_same_commands)
+Test(guarantees, same_events_give_same_commands)
 {
     const auto run = []
     {
--- a/tests/unit/dispatch/test_refusals.cpp
+++ b/tests/unit/dispatch/test_refusals.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Teaches a service time by a few requests, one after the other.
-void teach(harness& test, duration total)
+/// Runs five requests in sequence so that the estimator learns their duration.
+void record_durations(harness& test, duration total)
 {
     for (int i = 0; i < 5; ++i)
     {
@@ -38,7 +38,7 @@
     cr_assert_eq(test.core.queued(), 2);
 }
 
-Test(admission, the_routers_own_limit_displaces_across_targets)
+Test(admission, the_total_queue_limit_displaces_across_targets)
 {
     dispatcher::options settings;
     settings.max_queued = 1;
@@ -71,7 +71,7 @@
     cr_assert(test.refused(admitted) == refusal_reason::none);
     test.finish(running);
     test.finish(admitted);
-    cr_assert(test.granted(test.submit(urgent)), "bytes are given back");
+    cr_assert(test.granted(test.submit(urgent)), "bytes are released");
 }
 
 Test(admission, requests_per_second_are_limited)
@@ -108,23 +108,24 @@
     cr_assert(test.granted(test.submit()));
 }
 
-Test(admission, nothing_known_nothing_refused)
+Test(admission, without_samples_no_request_is_refused)
 {
     harness test;
     test.occupy();
-    request_info hasty = test.info();
-    hasty.deadline = test.now + 10ms;
+    request_info short_deadline = test.info();
+    short_deadline.deadline = test.now + 10ms;
     for (int i = 0; i < 20; ++i)
     {
-        cr_assert(test.refused(test.submit(hasty)) == refusal_reason::none);
+        cr_assert(
+            test.refused(test.submit(short_deadline)) == refusal_reason::none);
     }
 }
 
-Test(admission, refused_at_once_when_the_queue_is_too_long)
+Test(admission, a_request_is_refused_at_once_if_the_queue_is_too_long)
 {
     harness test;
     test.model("m", 1, 1);
-    teach(test, 1s);
+    record_durations(test, 1s);
     test.submit();
     request_info request = test.info();
     request.deadline = test.now + 10s;
@@ -132,14 +133,14 @@
     {
         cr_assert(test.refused(test.submit(request)) == refusal_reason::none);
     }
-    const ticket late = test.submit(request); // ten seconds of work before it
+    const ticket late = test.submit(request); // ten seconds of work are ahead
     cr_assert(test.refused(late) == refusal_reason::deadline);
     cr_assert(test.refusals[late][0].retry_after >= 10s);
-    request.caller = "another"; // its fair share puts it further forward
+    request.caller = "another"; // goes earlier because of its fair share
     cr_assert(test.refused(test.submit(request)) == refusal_reason::none);
 }
 
-Test(admission, waiting_ones_are_refused_as_soon_as_it_is_hopeless)
+Test(admission, queued_requests_are_refused_once_they_cannot_be_in_time)
 {
     harness test;
     const ticket running = test.occupy();
@@ -167,7 +168,7 @@
     }
 }
 
-Test(admission, an_expired_one_is_refused_on_the_tick_it_is_due)
+Test(admission, a_queued_request_is_refused_on_the_tick_at_its_deadline)
 {
     harness test;
     test.occupy();
@@ -184,20 +185,20 @@
 {
     harness test;
     test.model("m", 1, 0);
-    request_info hasty = test.info();
-    hasty.deadline = test.now + 5s; // the load takes ten
-    const ticket early = test.submit(hasty);
+    request_info short_deadline = test.info();
+    short_deadline.deadline = test.now + 5s; // loading takes 10 s
+    const ticket early = test.submit(short_deadline);
     cr_assert(test.refused(early) == refusal_reason::deadline);
     cr_assert(test.refusals[early][0].retry_after >= 10s);
-    cr_assert_eq(test.demands.size(), 1, "it is loaded all the same");
+    cr_assert_eq(test.demands.size(), 1, "a refusal still causes a load");
     test.now += 6s;
-    hasty.deadline = test.now + 5s;
+    short_deadline.deadline = test.now + 5s;
     cr_assert(
-        test.refused(test.submit(hasty)) == refusal_reason::none,
+        test.refused(test.submit(short_deadline)) == refusal_reason::none,
         "four seconds of the load remain");
 }
 
-Test(admission, observed_cold_waits_replace_the_declared)
+Test(admission, observed_cold_starts_replace_the_declared_estimate)
 {
     harness test;
     test.model("m", 1, 0);
@@ -211,13 +212,14 @@
     test.finish(first);
     test.model("m", 1, 0);
     request_info request = test.info();
-    request.deadline = test.now + 15s; // enough as declared, not as seen
+    // Enough for the declared load time of 10 s, not for the observed 20 s.
+    request.deadline = test.now + 15s;
     cr_assert(test.refused(test.submit(request)) == refusal_reason::deadline);
     request.deadline = test.now + 25s;
     cr_assert(test.refused(test.submit(request)) == refusal_reason::none);
 }
 
-Test(admission, bad_states_are_refused_with_their_reason)
+Test(admission, refusals_name_their_reason)
 {
     harness test;
     const ticket too_early = test.submit();
@@ -244,10 +246,10 @@
     cr_assert(test.refused(late) == refusal_reason::log_unavailable);
     cr_assert(test.refusals[late][0].retry_after >= 1s);
     test.model("m", 1, 1);
-    cr_assert(test.granted(test.submit()), "ready replicas serve on");
+    cr_assert(test.granted(test.submit()), "ready replicas keep serving");
 }
 
-Test(admission, granted_model_is_waited_for_while_the_log_is_away)
+Test(admission, requests_wait_for_a_granted_model_without_the_log)
 {
     harness test;
     test.model("m", 1, 0, 8, 1, 4, true);
@@ -256,7 +258,7 @@
     test.publish();
     const ticket waits = test.submit();
     cr_assert(test.refused(waits) == refusal_reason::none);
-    cr_assert_eq(test.demands.size(), 1, "its holder has to hear of it");
+    cr_assert_eq(test.demands.size(), 1, "the grant holder needs the demand");
     request_info other = test.info();
     other.target = "uncovered";
     cr_assert(
@@ -264,10 +266,10 @@
     test.model("m", 1, 0);
     cr_assert(
         test.refused(waits) == refusal_reason::log_unavailable,
-        "the grant's term is over");
+        "the grant has expired");
 }
 
-Test(admission, demand_is_sent_at_once_then_at_its_interval)
+Test(admission, demand_is_sent_at_once_and_then_periodically)
 {
     harness test;
     test.model("m", 1, 0);
@@ -283,7 +285,7 @@
     cr_assert_eq(test.demands[1].waiting, 2);
     test.model("m", 1, 1, 8);
     test.tick(1s);
-    cr_assert_eq(test.demands.size(), 2, "covered now");
+    cr_assert_eq(test.demands.size(), 2, "no more demand");
 }
 
 Test(admission, demand_for_another_replica_when_the_queue_is_long)
@@ -301,10 +303,10 @@
     {
         test.submit();
     }
-    cr_assert_eq(test.demands.size(), 1, "at its maximum");
+    cr_assert_eq(test.demands.size(), 1, "at the maximum of replicas");
 }
 
-Test(admission, drain_refuses_what_waits_and_lets_the_rest_end)
+Test(admission, drain_refuses_queued_requests_and_lets_running_ones_end)
 {
     harness test;
     const ticket running = test.occupy();
@@ -319,7 +321,7 @@
     cr_assert_eq(test.core.in_flight(), 0);
 }
 
-Test(admission, an_answer_that_cannot_end_in_time_is_not_begun)
+Test(admission, a_request_that_cannot_finish_in_time_is_refused)
 {
     harness test;
     test.model("m", 1, 1, 4);
@@ -335,5 +337,5 @@
     info.deadline = test.now + 100ms;
     cr_assert_eq(test.refused(test.submit(info)), refusal_reason::deadline);
     info.max_tokens = 8;
-    cr_assert(test.granted(test.submit(info)), "a shorter one can");
+    cr_assert(test.granted(test.submit(info)), "a shorter answer fits");
 }
--- a/tests/unit/dispatch/test_retries.cpp
+++ b/tests/unit/dispatch/test_retries.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-request_info once(const harness& test)
+request_info non_repeatable(const harness& test)
 {
     request_info request = test.info();
     request.repeatable = false;
@@ -18,11 +18,11 @@
 
 } // namespace
 
-Test(retries, a_refused_one_goes_to_another_server)
+Test(retries, a_refused_request_goes_to_another_server)
 {
     harness test;
     test.model("m", 1, 2);
-    const ticket id = test.submit(once(test));
+    const ticket id = test.submit(non_repeatable(test));
     const std::uint32_t first = test.engine(id);
     cr_assert(not test.finish(id, end_kind::refused_not_run).final_answer);
     cr_assert_eq(test.grants[id].size(), 2);
@@ -30,7 +30,7 @@
     cr_assert_eq(test.grants[id][1].attempt, 1);
 }
 
-Test(retries, waits_for_another_server_rather_than_the_same)
+Test(retries, a_retry_waits_for_another_server)
 {
     harness test;
     test.model("m", 1, 2);
@@ -38,7 +38,7 @@
     const ticket other = test.submit();
     cr_assert(not test.finish(id, end_kind::not_sent).final_answer);
     cr_assert_eq(test.grants[id].size(), 1, "the other server is full");
-    cr_assert(test.granted(test.submit()), "and doesn't hold up the rest");
+    cr_assert(test.granted(test.submit()), "the retry does not block others");
     test.finish(other);
     cr_assert_eq(test.grants[id].size(), 2);
     cr_assert_neq(test.grants[id][1].engine, test.grants[id][0].engine);
@@ -53,13 +53,13 @@
     cr_assert_eq(test.grants[id].size(), 2);
 }
 
-Test(retries, one_not_repeatable_is_final_once_it_may_have_run)
+Test(retries, a_non_repeatable_request_is_final_once_it_may_have_run)
 {
     for (const end_kind how : {end_kind::broken, end_kind::no_progress})
     {
         harness test;
         test.model("m", 1, 2);
-        const ticket id = test.submit(once(test));
+        const ticket id = test.submit(non_repeatable(test));
         const auto outcome = test.finish(id, how);
         cr_assert(outcome.final_answer);
         cr_assert(outcome.outcome == verdict::may_have_run);
@@ -67,7 +67,7 @@
     }
 }
 
-Test(retries, a_repeatable_one_is_sent_again_unless_its_answer_started)
+Test(retries, a_repeatable_request_is_retried_unless_its_answer_started)
 {
     harness test;
     test.model("m", 1, 2);
@@ -92,7 +92,7 @@
     cr_assert(outcome.reason == refusal_reason::backend_failed);
 }
 
-Test(retries, the_deadline_goes_on)
+Test(retries, a_retry_keeps_the_deadline)
 {
     harness test;
     test.model("m", 1, 2);
@@ -105,7 +105,7 @@
     cr_assert(outcome.reason == refusal_reason::deadline);
 }
 
-Test(retries, the_budget_bounds_them)
+Test(retries, the_budget_limits_retries)
 {
     harness test;
     test.model("m", 1, 4, 8);
@@ -125,17 +125,17 @@
         }
         return count;
     };
-    cr_assert_eq(retried(20), 3, "the floor");
+    cr_assert_eq(retried(20), 3, "the initial tokens");
     for (int i = 0; i < 50; ++i)
     {
         test.finish(test.submit());
     }
-    cr_assert_eq(retried(20), 10, "a fifth of the answers");
+    cr_assert_eq(retried(20), 10, "20 % of the answers");
     test.now += 1s;
-    cr_assert_eq(retried(20), 3, "the floor of a second");
+    cr_assert_eq(retried(20), 3, "the tokens of one second");
 }
 
-Test(retries, a_broken_connection_is_a_crash_suspicion)
+Test(retries, a_broken_connection_makes_a_request_suspect)
 {
     harness test;
     test.model("m", 1, 3, 4);
@@ -158,15 +158,14 @@
     test.finish(id, end_kind::broken);
     cr_assert_eq(test.crashes.size(), 2);
     test.tick(1s);
-    cr_assert_eq(test.grants[id].size(), 2, "nothing is known of the second");
+    cr_assert_eq(test.grants[id].size(), 2, "awaits the second finding");
     test.examined(crash_finding::crashed);
-    cr_assert_eq(
-        test.grants[id].size(), 2, "it doesn't take a third server down");
+    cr_assert_eq(test.grants[id].size(), 2, "must not reach a third server");
     cr_assert(test.refused(id) == refusal_reason::backend_failed);
     cr_assert(test.refusals[id][0].outcome == verdict::may_have_run);
 }
 
-// A network device that resets connections doesn't crash servers.
+// Guards against counting a connection that a network device reset as a crash.
 Test(retries, a_server_that_survived_does_not_count_as_crashed)
 {
     harness test;
@@ -176,13 +175,13 @@
     const ticket id = test.submit(request);
     test.finish(id, end_kind::broken);
     test.finish(id, end_kind::broken);
-    cr_assert_eq(test.grants[id].size(), 2, "it waits for what is found");
+    cr_assert_eq(test.grants[id].size(), 2, "awaits the findings");
     test.examined(crash_finding::survived);
     cr_assert_eq(test.grants[id].size(), 3);
     cr_assert(test.finish(id).outcome == verdict::answered);
 }
 
-Test(retries, what_can_not_be_told_counts_as_a_crash)
+Test(retries, an_unknown_finding_counts_as_a_crash)
 {
     harness test;
     test.model("m", 1, 3, 4);
@@ -196,7 +195,7 @@
     cr_assert(test.refused(id) == refusal_reason::backend_failed);
 }
 
-Test(retries, one_that_waits_for_findings_meets_its_deadline)
+Test(retries, a_request_that_awaits_findings_is_refused_at_its_deadline)
 {
     harness test;
     test.model("m", 1, 3, 4);
@@ -213,7 +212,7 @@
     cr_assert_eq(test.grants[id].size(), 2);
 }
 
-Test(retries, a_run_that_was_stopped_may_have_run_and_crashed_nothing)
+Test(retries, a_cancelled_run_may_have_run_and_is_no_crash)
 {
     harness test;
     test.model("m", 1, 2, 4);
@@ -223,7 +222,8 @@
     cr_assert(not test.finish(id, end_kind::stopped).final_answer);
     cr_assert_eq(test.grants[id].size(), 2);
     cr_assert(test.crashes.empty());
-    const auto end = test.finish(test.submit(once(test)), end_kind::stopped);
+    const auto end =
+        test.finish(test.submit(non_repeatable(test)), end_kind::stopped);
     cr_assert(end.final_answer);
     cr_assert(end.outcome == verdict::may_have_run);
 }
@@ -241,7 +241,7 @@
     cr_assert_eq(test.crashes.size(), 1);
 }
 
-Test(retries, a_stream_that_breaks_is_a_crash_suspicion_too)
+Test(retries, a_broken_stream_is_reported_as_a_possible_crash)
 {
     harness test;
     test.model("m", 1, 1);
@@ -279,14 +279,14 @@
     cr_assert(test.finish(first).outcome == verdict::may_have_run);
 }
 
-Test(resume, a_stream_that_can_be_continued_gets_another_server)
+Test(resume, a_resumable_stream_continues_on_another_server)
 {
     harness test;
     test.model("m", 1, 2, 4);
     const ticket id = test.submit();
     const ticket other = test.submit();
     cr_assert(not test.cut(id, true).final_answer);
-    cr_assert_eq(test.grants[id].size(), 2, "at once, beside others");
+    cr_assert_eq(test.grants[id].size(), 2, "at once, not alone on a server");
     cr_assert_neq(test.grants[id][1].engine, test.grants[id][0].engine);
     cr_assert(test.finish(other).final_answer);
     const auto end = test.cut(id, false);
@@ -295,7 +295,7 @@
     cr_assert(end.reason == refusal_reason::stream_cut);
 }
 
-Test(resume, a_stream_goes_on_after_each_cut_that_was_no_crash)
+Test(resume, a_stream_is_resumed_after_each_cut_that_was_no_crash)
 {
     harness test;
     test.model("m", 1, 8, 4);
@@ -316,7 +316,7 @@
     cr_assert(test.refused(id) == refusal_reason::stream_cut);
 }
 
-Test(resume, a_stream_that_gets_no_further_is_cut)
+Test(resume, a_stream_without_progress_is_cut)
 {
     harness test;
     test.model("m", 1, 2, 4);
@@ -328,17 +328,16 @@
     cr_assert(end.reason == refusal_reason::stream_cut);
 }
 
-Test(resume, one_not_repeatable_is_never_continued)
+Test(resume, a_non_repeatable_request_is_never_resumed)
 {
     harness test;
     test.model("m", 1, 2, 4);
-    const ticket id = test.submit(once(test));
+    const ticket id = test.submit(non_repeatable(test));
     const auto end = test.cut(id, true);
     cr_assert(end.final_answer);
     cr_assert(end.outcome == verdict::may_have_run);
 }
 
-// Urgent streams are continued first when the budget is short.
 Test(resume, the_last_third_of_the_budget_is_for_urgent_streams)
 {
     harness test;
@@ -357,7 +356,7 @@
     cr_assert(urgent * 3 >= continued, "%zu after %zu", urgent, continued);
 }
 
-Test(retry_after, tells_when_a_lone_replica_may_be_back)
+Test(retry_after, is_the_load_time_if_the_only_replica_is_lost)
 {
     harness test;
     test.model("m", 1, 1);
--- a/tests/unit/dispatch/test_routing.cpp
+++ b/tests/unit/dispatch/test_routing.cpp
@@ -13,24 +13,24 @@
 namespace
 {
 
-constexpr fingerprint poison(77);
+constexpr fingerprint crashing_content(77);
 
-request_info poisoned(const harness& test)
+request_info crashing_request(const harness& test)
 {
     request_info request = test.info();
-    request.content = poison;
+    request.content = crashing_content;
     return request;
 }
 
 void mark_suspect(harness& test)
 {
-    test.table.set_suspect(poison, true);
+    test.table.set_suspect(crashing_content, true);
     test.publish();
 }
 
 } // namespace
 
-Test(routing, own_data_centre_first_then_spills_over)
+Test(routing, own_data_centre_is_preferred_until_full)
 {
     dispatcher::options settings;
     settings.data_centre = "odd";
@@ -49,14 +49,14 @@
         engines == std::multiset<std::uint32_t>({1, 1, 2, 2, 3, 3, 4, 4}));
 }
 
-/// With one of three copies near it, a whole data centre's callers met on that
-/// one while the others stood idle.
+/// Guards against sending all callers of a data centre to its only replica
+/// while replicas in other data centres are idle.
 Test(routing, a_loaded_server_in_the_own_data_centre_is_not_preferred)
 {
     dispatcher::options settings;
     settings.data_centre = "odd";
     harness test(settings);
-    test.model("m", 1, 2, 64); // engine 1 is near, engine 2 is not
+    test.model("m", 1, 2, 64); // only engine 1 is in the own data centre
     std::map<std::uint32_t, int> sent;
     for (int i = 0; i < 60; ++i)
         ++sent[test.engine(test.submit())];
@@ -77,7 +77,7 @@
     cr_assert_eq(test.engine(test.submit()), 1, "the report is too old");
 }
 
-Test(routing, others_load_never_locks_this_router_out)
+Test(routing, load_of_other_routers_leaves_this_router_a_slot)
 {
     harness test;
     test.model("m", 1, 1, 4);
@@ -90,7 +90,7 @@
     cr_assert(test.granted(second));
 }
 
-Test(routing, a_prefix_keeps_its_replica_while_the_load_allows)
+Test(routing, a_prefix_keeps_its_replica_within_the_load_bound)
 {
     harness test;
     test.model("m", 1, 4, 16);
@@ -109,7 +109,7 @@
     cr_assert(engines.count(test.engine(first)) >= 5);
 }
 
-Test(routing, leaving_vms_get_nothing_new)
+Test(routing, leaving_vms_get_no_new_requests)
 {
     harness test;
     test.model("m", 1, 2, 8);
@@ -127,16 +127,16 @@
     cr_assert_eq(test.engine(waits), 1);
 }
 
-Test(routing, a_suspect_runs_alone)
+Test(routing, a_suspect_request_runs_alone)
 {
     harness test;
     test.model("m", 1, 1, 4);
     mark_suspect(test);
     const ticket before = test.submit();
-    const ticket suspect = test.submit(poisoned(test));
+    const ticket suspect = test.submit(crashing_request(test));
     const ticket after = test.submit();
-    cr_assert(not test.granted(suspect), "another runs there");
-    cr_assert(not test.granted(after), "the replica is kept for the suspect");
+    cr_assert(not test.granted(suspect), "another request runs there");
+    cr_assert(not test.granted(after), "the replica is reserved");
     test.finish(before);
     cr_assert(test.granted(suspect));
     cr_assert(not test.granted(after));
@@ -144,13 +144,13 @@
     cr_assert(test.granted(after));
 }
 
-Test(routing, a_suspect_is_alone_across_models_of_an_engine)
+Test(routing, a_suspect_request_excludes_other_models_of_its_engine)
 {
     harness test;
     test.model("m", 1, 1, 4);
     test.model("other", 2, 1, 4);
     mark_suspect(test);
-    const ticket suspect = test.submit(poisoned(test));
+    const ticket suspect = test.submit(crashing_request(test));
     cr_assert(test.granted(suspect));
     request_info other = test.info();
     other.target = "other";
@@ -160,13 +160,13 @@
     cr_assert(test.granted(waits));
 }
 
-Test(routing, a_suspect_that_leaves_frees_what_was_kept_for_it)
+Test(routing, an_abandoned_suspect_request_releases_its_reservation)
 {
     harness test;
     test.model("m", 1, 1, 4);
     mark_suspect(test);
     test.submit();
-    const ticket suspect = test.submit(poisoned(test));
+    const ticket suspect = test.submit(crashing_request(test));
     const ticket after = test.submit();
     cr_assert(not test.granted(after));
     test.core.abandon(suspect, test.now);
@@ -174,7 +174,7 @@
     cr_assert(test.granted(after));
 }
 
-Test(routing, a_suspect_keeps_away_from_the_last_good_replica)
+Test(routing, a_suspect_request_avoids_the_last_healthy_replica)
 {
     harness test;
     test.model("m", 1, 2, 1);
@@ -189,21 +189,21 @@
             test.engine(id) == 1 ? end_kind::no_progress : end_kind::answered);
     }
     mark_suspect(test);
-    cr_assert_eq(test.engine(test.submit(poisoned(test))), 1);
+    cr_assert_eq(test.engine(test.submit(crashing_request(test))), 1);
     cr_assert_eq(test.engine(test.submit()), 2);
 }
 
-Test(routing, a_blocked_request_is_refused_also_when_it_waits)
+Test(routing, a_blocked_request_is_refused_even_if_already_queued)
 {
     harness test;
     test.model("m", 1, 1);
     const ticket running = test.submit();
-    const ticket waits = test.submit(poisoned(test));
-    test.table.set_blocked(poison, true);
+    const ticket waits = test.submit(crashing_request(test));
+    test.table.set_blocked(crashing_content, true);
     test.publish();
     test.finish(running);
     cr_assert(test.refused(waits) == refusal_reason::blocked);
-    const ticket late = test.submit(poisoned(test));
+    const ticket late = test.submit(crashing_request(test));
     cr_assert(test.refused(late) == refusal_reason::blocked);
     cr_assert(test.refusals[late][0].outcome == verdict::not_run);
 }
@@ -241,7 +241,7 @@
     cr_assert_eq(at_bad, 3, "ejected after three in a row");
 }
 
-Test(routing, ejection_grows_and_ends)
+Test(routing, ejection_time_doubles_and_resets)
 {
     detail::server_health health;
     instant now{1h};
@@ -265,10 +265,10 @@
     {
         health.failed(now);
     }
-    cr_assert(health.ejected_until() == now + 5s, "forgiven");
+    cr_assert(health.ejected_until() == now + 5s, "reset by successes");
 }
 
-Test(routing, plain_services_go_the_same_way)
+Test(routing, plain_services_are_queued_and_granted)
 {
     harness test;
     service_routes service;
@@ -285,14 +285,14 @@
     cr_assert(test.granted(first));
     cr_assert_eq(test.grants[first][0].address, "10.0.0.1:80");
     cr_assert_eq(test.engine(first), 0);
-    cr_assert(not test.granted(second), "its limit in flight");
+    cr_assert(not test.granted(second), "the limit of requests in flight");
     test.core.vm_leaving("vm1", true, test.now);
     test.collect();
     cr_assert(test.refused(second) == refusal_reason::no_capacity);
     cr_assert(test.demands.empty());
 }
 
-Test(routing, an_answer_cut_by_its_deadline_says_nothing_of_the_server)
+Test(routing, an_answer_cut_by_its_deadline_is_no_server_failure)
 {
     harness test;
     test.model("m", 1, 2, 4);
--- a/tests/unit/dispatch/test_routing_table.cpp
+++ b/tests/unit/dispatch/test_routing_table.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// A fleet of one model, one adapter and one engine, and its table.
+/// A fleet with one model, one adapter and one engine, and the table builder
+/// that follows its state.
 struct routed_fleet : test::fold_log
 {
     routed_fleet()
@@ -24,7 +25,7 @@
         this->builder.rebuild(this->state);
     }
 
-    /// Moves a replica and updates the table.
+    /// Changes the state of a replica and updates the table.
     void move(replica_id id, replica_state to)
     {
         cr_assert(
@@ -67,7 +68,7 @@
 
 } // namespace
 
-Test(routing_table, names_outlive_the_state_that_they_were_borrowed_from)
+Test(routing_table, names_outlive_the_state_that_owns_them)
 {
     routing_table_ptr table;
     {
@@ -85,7 +86,7 @@
     cr_expect(copy.name.is_borrowed());
 }
 
-Test(routing_table, an_entry_made_by_hand_owns_its_name)
+Test(routing_table, an_entry_that_is_not_built_from_a_state_owns_its_name)
 {
     servable_routes entry =
         make_entry(1, std::string("a-name-") + "of-its-own");
@@ -95,7 +96,7 @@
     cr_expect_not(copy.name.is_borrowed());
 }
 
-Test(routing_table, routes_follow_the_replicas_life)
+Test(routing_table, routes_follow_the_replica_states)
 {
     routed_fleet fleet;
     const auto before = fleet.builder.table();
@@ -129,7 +130,7 @@
     cr_assert_eq(fleet.routes("m"), 1);
 }
 
-Test(routing_table, adapters_have_their_bases_streams)
+Test(routing_table, adapters_use_the_stream_limit_of_their_base)
 {
     routed_fleet fleet;
     model_spec wider = test::fold_log::model();
@@ -141,7 +142,7 @@
     cr_assert(table->find_servable("a")->is_adapter);
 }
 
-Test(routing_table, services_callers_and_removals)
+Test(routing_table, services_and_callers_are_added_and_removed)
 {
     routed_fleet fleet;
     service_spec service;
@@ -168,7 +169,7 @@
     cr_assert_not_null(table->find_servable("m"));
 }
 
-Test(routing_table, suspects_blocks_and_their_lapse)
+Test(routing_table, requests_become_suspect_then_blocked_until_expiry)
 {
     routed_fleet fleet;
     constexpr fingerprint request(5);
@@ -193,7 +194,7 @@
     cr_assert(not fleet.builder.table()->is_blocked(request));
 }
 
-Test(routing_table, a_rebuilt_table_equals_the_one_kept_up)
+Test(routing_table, a_rebuilt_table_equals_the_updated_one)
 {
     routed_fleet fleet;
     const replica_id base = fleet.ready("m");
@@ -211,10 +212,10 @@
     fleet.builder.set_log_available(false);
     cr_assert(not fleet.builder.table()->log_available());
     fleet.builder.rebuild(fleet.state);
-    cr_assert(not fleet.builder.table()->log_available(), "still away");
+    cr_assert(not fleet.builder.table()->log_available(), "kept by a rebuild");
 }
 
-Test(routing_table, a_change_shares_all_other_leaves)
+Test(routing_table, a_change_copies_only_one_leaf)
 {
     detail::sharded_table table;
     for (std::uint32_t id = 1; id <= 10'000; ++id)
@@ -234,7 +235,7 @@
     cr_assert_eq(copied, detail::servable_tree::fan_out);
 }
 
-Test(routing_table, agrees_with_a_plain_map_under_random_edits)
+Test(routing_table, equals_a_std_map_under_random_edits)
 {
     detail::sharded_table table;
     std::map<std::uint32_t, std::string> plain;
@@ -272,7 +273,7 @@
     }
 }
 
-Test(routing_table, a_router_that_starts_from_a_state_knows_its_blocks)
+Test(routing_table, a_rebuild_from_a_state_includes_its_blocks)
 {
     routed_fleet fleet;
     constexpr fingerprint blocked(5);
@@ -288,7 +289,7 @@
     cr_assert(not fresh.table()->is_blocked(suspect));
 }
 
-Test(routing_table, a_granted_model_is_told_and_routed_when_loaded)
+Test(routing_table, a_granted_model_is_marked_and_routed_when_loaded)
 {
     routed_fleet fleet;
     const servable_id model = fleet.state.find_servable("m");
--- a/tests/unit/dispatch/test_shared_engines.cpp
+++ b/tests/unit/dispatch/test_shared_engines.cpp
@@ -11,7 +11,9 @@
 namespace
 {
 
-/// Both routers get calls, or the second one only after a third of the time.
+/// Simulates two routers that share engines beyond saturation.
+/// @param head_start Fraction of the run during which the second router
+///                   receives no calls.
 void check_past_saturation(double load, double head_start, std::uint64_t seed)
 {
     shared_engines_setup setup;
@@ -40,7 +42,7 @@
     }
 }
 
-Test(shared_engines, answers_of_varying_length_are_not_cut_either)
+Test(shared_engines, answers_of_varying_length_are_rarely_cut)
 {
     shared_engines_setup setup;
     setup.spread = 80ms;
@@ -49,7 +51,7 @@
     cr_assert_geq(seen.goodput, 0.95 * 100);
 }
 
-Test(shared_engines, a_router_that_comes_later_gets_its_share)
+Test(shared_engines, a_router_that_starts_later_gets_its_share)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed)
     {
@@ -72,5 +74,6 @@
     test.core.routers_alive(1, test.now);
     test.collect();
     cr_assert(
-        not test.granted(fifth), "alone, the work there isn't a router's");
+        not test.granted(fifth),
+        "no share: the load there is not from routers");
 }
--- a/tests/unit/dispatch/test_shared_retry_budget.cpp
+++ b/tests/unit/dispatch/test_shared_retry_budget.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-/// A service lost its servers, and every request on them fails at once at all
-/// routers: together they send no more than the allowance.
-Test(shared_retry_budget, routers_together_keep_to_the_allowance)
+/// Guards against a retry storm when a service loses its servers and every
+/// request on them fails at the same moment on all routers.
+Test(shared_retry_budget, routers_together_stay_within_the_allowance)
 {
     for (const std::size_t routers : {1U, 3U, 9U, 50U})
     {
@@ -43,11 +43,11 @@
             sum += withdrawn(one, routers);
         }
         cr_assert_leq(sum, 2 * routers + 50);
-        cr_assert_geq(sum + routers, 2 * routers + 50); // less a part of one
+        cr_assert_geq(sum + routers, 2 * routers + 50); // each rounds down
     }
 }
 
-Test(shared_retry_budget, requests_and_retries_leave_with_the_window)
+Test(shared_retry_budget, counts_expire_with_the_window)
 {
     shared_retry_budget budget = make_budget(0.5, 0);
     for (int request = 0; request < 10; ++request)
@@ -56,18 +56,18 @@
     cr_assert_eq(budget.available(1, at(8900ms)), 0);
     for (int request = 0; request < 4; ++request)
         budget.requested(at(9500ms));
-    // What was counted at the start is over by then.
+    // The counts from the start have left the window.
     cr_assert_eq(budget.available(1, at(10500ms)), 2);
     cr_assert_eq(budget.available(1, at(60s)), 0);
 }
 
-Test(shared_retry_budget, some_is_kept_back_for_other_windows)
+Test(shared_retry_budget, only_the_usable_fraction_is_spent)
 {
     shared_retry_budget budget({0.2, 100, 10s, 0.7});
     cr_assert_eq(withdrawn(budget, 1), 70);
 }
 
-/// Without any router known, this one is there.
+/// While no router is known, the count is 0 but this router exists.
 Test(shared_retry_budget, no_routers_count_as_one)
 {
     shared_retry_budget budget = make_budget(0.2, 10);
