--- a/src/adapters/edge/backend_leg.cpp
+++ b/src/adapters/edge/backend_leg.cpp
@@ -277,7 +277,7 @@
     if (this->out.started() && this->outcome.result.how == end::answered)
     {
         // Not the rest of the stream that the caller has begun to get.
-        this->call.position.give_up();
+        this->call.position.disable_resume();
         this->end_as(end::broken);
     }
     this->release(this->outcome.answer->keep_alive());
@@ -333,7 +333,7 @@
         this->pool.silent(*this->connection);
         this->call.patient = true;
         if (!this->first_byte_came)
-            this->pool.progress.ran_out(this->call.work());
+            this->pool.progress.record_timeout(this->call.work());
     }
     else
         this->end_as(end::broken);
@@ -361,7 +361,7 @@
 {
     const duration ceiling = this->pool.context.options.first_byte_timeout;
     const connection_kind kind = this->connection->pooled
-                                     ? connection_kind::kept
+                                     ? connection_kind::reused
                                      : connection_kind::fresh;
     // Giving up early costs a call its answer unless it can be sent again.
     const bool early = this->call.info.repeatable && !this->call.patient;
@@ -391,7 +391,7 @@
 void backend_leg::learn_first_byte()
 {
     this->first_byte_came = true;
-    this->pool.progress.answered(
+    this->pool.progress.record_first_byte(
         this->call.work(),
         this->outcome.result.first_byte,
         this->pool.context.now());
--- a/src/adapters/edge/backend_leg.hpp
+++ b/src/adapters/edge/backend_leg.hpp
@@ -95,7 +95,7 @@
     void limit(duration longest);
     void limit_first_byte();
     duration first_byte_left() const;
-    duration next_event_limit(const stream_pace& pace) const;
+    duration next_event_limit(const stream_gap_estimator& pace) const;
     duration time_left(duration longest) const;
     void note_first_byte();
     void learn_first_byte();
--- a/src/adapters/edge/backend_leg_stream.cpp
+++ b/src/adapters/edge/backend_leg_stream.cpp
@@ -29,7 +29,7 @@
         co_return;
     sse_reader events(options.stream_buffer_bytes, &this->call.position);
     const std::uint32_t earlier_tokens = this->outcome.result.tokens;
-    stream_pace pace;
+    stream_gap_estimator pace;
     while (!parser.is_done())
     {
         auto& body = parser.get().body();
@@ -52,7 +52,7 @@
         this->outcome.result.tokens = earlier_tokens + events.tokens();
         const std::string ready = events.take_ready();
         if (!ready.empty())
-            pace.event(this->pool.context.now());
+            pace.record_event(this->pool.context.now());
         const bool passed = co_await this->pass_on(ready, parser.get().base());
         if (!passed)
             co_return;
@@ -120,16 +120,17 @@
 bool backend_leg::joins(const answer_head& head)
 {
     const auto tag = head[http::field::etag];
-    const bool follows = this->call.position.begin({tag.data(), tag.size()});
+    const bool follows =
+        this->call.position.begin_run({tag.data(), tag.size()});
     const bool good = head.result() == http::status::ok;
     if (!this->out.started() || (follows && good))
         return true;
-    this->call.position.give_up();
+    this->call.position.disable_resume();
     this->end_as(end::broken);
     return false;
 }
 
-duration backend_leg::next_event_limit(const stream_pace& pace) const
+duration backend_leg::next_event_limit(const stream_gap_estimator& pace) const
 {
     const edge_options& options = this->pool.context.options;
     if (!this->first_byte_came)
--- a/src/adapters/edge/prepared_call.hpp
+++ b/src/adapters/edge/prepared_call.hpp
@@ -46,7 +46,7 @@
         return this->target.kind == route_kind::service;
     }
 
-    work_kind work() const
+    request_profile work() const
     {
         return {
             this->info.target,
--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -131,7 +131,8 @@
 
 asio::awaitable<bool> forward_call::run()
 {
-    this->context.retries_of(this->service).requested(this->request.arrived);
+    this->context.retries_of(this->service)
+        .record_request(this->request.arrived);
     asio::co_spawn(
         this->pool.executor, watch(this->caller, this->inbox), asio::detached);
     const bool entered = co_await this->enter();
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -388,7 +388,7 @@
 
 void gateway_control::take_break(const break_word& word)
 {
-    this->crashes.broke(
+    this->crashes.record_break(
         fingerprint(word.request), word.server, this->clock.now());
 }
 
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -11,7 +11,7 @@
 #include "app/gateway/serving_desk.hpp"
 #include "app/gateway/usage_meter.hpp"
 #include "app/table_holder.hpp"
-#include "core/request/crash_ledger.hpp"
+#include "core/request/crash_detector.hpp"
 #include "ports/clock.hpp"
 #include "ports/directory_copy_port.hpp"
 #include "ports/directory_port.hpp"
@@ -202,7 +202,7 @@
     std::unique_ptr<engine_command_port> commands;
     std::unique_ptr<placement_desk> placement;
     usage_meter usage;
-    crash_ledger crashes{crash_ledger::options()};
+    crash_detector crashes{crash_detector::options()};
     std::map<std::string, std::string> router_addresses; ///< by name
     std::optional<known_owner> owner;
     instant owner_missing_since;
--- a/src/core/request/crash_ledger.cpp
+++ b/src/core/request/crash_detector.cpp
@@ -1,14 +1,14 @@
-#include "core/request/crash_ledger.hpp"
+#include "core/request/crash_detector.hpp"
 
 namespace roseworks
 {
 
-crash_ledger::crash_ledger(options chosen)
+crash_detector::crash_detector(options chosen)
     : settings(chosen)
 {
 }
 
-void crash_ledger::broke(
+void crash_detector::record_break(
     fingerprint request, std::string_view server, instant now)
 {
     this->unconfirmed.push_back({request, std::string(server), now});
@@ -16,7 +16,7 @@
         this->unconfirmed.pop_front();
 }
 
-bool crash_ledger::server_lost(std::string_view server, instant now)
+bool crash_detector::server_lost(std::string_view server, instant now)
 {
     bool newly_blocked = false;
     for (const broken_connection& connection : this->unconfirmed)
@@ -44,7 +44,7 @@
     return newly_blocked;
 }
 
-bool crash_ledger::tick(instant now)
+bool crash_detector::tick(instant now)
 {
     while (!this->unconfirmed.empty() &&
            now - this->unconfirmed.front().broken_at >
--- a/src/core/request/crash_ledger.hpp
+++ b/src/core/request/crash_detector.hpp
@@ -27,7 +27,7 @@
 
     Advisory: an error here cannot break a guarantee.
 */
-class crash_ledger
+class crash_detector
 {
 public:
     struct options
@@ -45,10 +45,11 @@
         std::size_t max_unconfirmed = 4096;
     };
 
-    explicit crash_ledger(options settings);
+    explicit crash_detector(options settings);
 
     /// Records that a connection to a server broke while it carried a request.
-    void broke(fingerprint request, std::string_view server, instant now);
+    void
+    record_break(fingerprint request, std::string_view server, instant now);
 
     /// Records that a server is gone or was restarted.
     /// @return Whether a request became blocked.
--- a/src/core/request/dispatcher_impl.hpp
+++ b/src/core/request/dispatcher_impl.hpp
@@ -125,7 +125,7 @@
     refuse_on_arrival(ticket id, refusal_reason reason, duration retry_after);
     void purge(instant now);
 
-    // dispatcher_pump.cpp
+    // dispatcher_grant.cpp
     void refresh(detail::target& destination, instant now);
     void grant_waiting(detail::target& destination, instant now);
     bool grant_next(
--- a/src/core/request/progress_estimator.cpp
+++ b/src/core/request/progress_estimator.cpp
@@ -21,7 +21,7 @@
 
 /// @return The binary order of magnitude of the work before the first byte,
 ///         measured in generated tokens.
-std::uint64_t size_class(const work_kind& profile)
+std::uint64_t size_class(const request_profile& profile)
 {
     const std::uint64_t prefill =
         profile.prompt_bytes / (bytes_per_token * prefill_speedup);
@@ -32,7 +32,7 @@
 } // namespace
 
 duration progress_estimator::first_byte_limit(
-    const work_kind& profile,
+    const request_profile& profile,
     connection_kind connection,
     duration ceiling) const
 {
@@ -49,8 +49,8 @@
     return std::min(limit, ceiling);
 }
 
-void progress_estimator::answered(
-    const work_kind& profile, duration first_byte, instant now)
+void progress_estimator::record_first_byte(
+    const request_profile& profile, duration first_byte, instant now)
 {
     const std::uint64_t key = key_of(profile);
     if (!this->entries.contains(key))
@@ -63,7 +63,7 @@
     known.last_used = now;
 }
 
-void progress_estimator::ran_out(const work_kind& profile)
+void progress_estimator::record_timeout(const request_profile& profile)
 {
     const auto found = this->entries.find(key_of(profile));
     if (found == this->entries.end())
@@ -72,7 +72,7 @@
     backoff = std::min(backoff * 2, max_backoff);
 }
 
-std::uint64_t progress_estimator::key_of(const work_kind& profile)
+std::uint64_t progress_estimator::key_of(const request_profile& profile)
 {
     const std::uint64_t name = std::hash<std::string_view>()(profile.target);
     const std::uint64_t shape =
@@ -94,7 +94,7 @@
     this->entries.erase(oldest);
 }
 
-void stream_pace::event(instant now)
+void stream_gap_estimator::record_event(instant now)
 {
     if (this->has_event)
         this->gap.add(now - this->last);
@@ -102,7 +102,7 @@
     this->last = now;
 }
 
-duration stream_pace::limit(duration ceiling) const
+duration stream_gap_estimator::limit(duration ceiling) const
 {
     const auto expected = this->gap.upper_bound();
     if (!expected)
--- a/src/core/request/progress_estimator.hpp
+++ b/src/core/request/progress_estimator.hpp
@@ -13,7 +13,7 @@
 {
 
 /// Request properties that determine the time to first byte.
-struct work_kind
+struct request_profile
 {
     std::string_view target; ///< name of the servable or service
     /// If false, the first byte is sent only after the last token is generated.
@@ -25,8 +25,8 @@
 /// The kind of connection that a request was sent on.
 enum class connection_kind : std::uint8_t
 {
-    kept, ///< carried an answer before; the path may have dropped it since
-    fresh ///< just opened, so the network path worked a moment ago
+    reused, ///< carried an answer before; the path may have dropped it since
+    fresh   ///< just opened, so the network path worked a moment ago
 };
 
 /** Computes the time-out for the first byte of an answer. When it expires, the
@@ -51,15 +51,16 @@
     /// @param ceiling Upper bound of the limit.
     /// @return        Time limit, measured from sending the request.
     duration first_byte_limit(
-        const work_kind& profile,
+        const request_profile& profile,
         connection_kind connection,
         duration ceiling) const;
 
     /// Records the time from sending a request to the first byte of its answer.
-    void answered(const work_kind& profile, duration first_byte, instant now);
+    void record_first_byte(
+        const request_profile& profile, duration first_byte, instant now);
 
     /// Records that a limit expired.
-    void ran_out(const work_kind& profile);
+    void record_timeout(const request_profile& profile);
 
 private:
     struct entry
@@ -69,7 +70,7 @@
         instant last_used;
     };
 
-    static std::uint64_t key_of(const work_kind& profile);
+    static std::uint64_t key_of(const request_profile& profile);
     void evict_oldest();
 
     std::unordered_map<std::uint64_t, entry> entries;
@@ -77,13 +78,13 @@
 
 /** Computes the time-out between two events of one stream from the gaps seen
     so far in that stream. */
-class stream_pace
+class stream_gap_estimator
 {
 public:
     static constexpr duration min_limit = std::chrono::seconds(1);
 
     /// Records the arrival of one or more events.
-    void event(instant now);
+    void record_event(instant now);
 
     /// @param ceiling Upper bound of the limit, and the limit while there are
     ///                too few samples.
--- a/src/core/request/shared_retry_budget.cpp
+++ b/src/core/request/shared_retry_budget.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-void shared_retry_budget::requested(instant now)
+void shared_retry_budget::record_request(instant now)
 {
     this->advance(now);
     ++this->slices[static_cast<std::size_t>(this->newest) % slice_count]
--- a/src/core/request/shared_retry_budget.hpp
+++ b/src/core/request/shared_retry_budget.hpp
@@ -36,7 +36,7 @@
     explicit shared_retry_budget(options settings);
 
     /// Counts a caller's request to the service.
-    void requested(instant now);
+    void record_request(instant now);
 
     /// Counts a retry if it is allowed.
     /// @param routers Number of routers that share the allowance, including
--- a/src/core/request/stream_position.cpp
+++ b/src/core/request/stream_position.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-bool stream_position::begin(std::string_view tag)
+bool stream_position::begin_run(std::string_view tag)
 {
     // The caller has no event of the earlier run, so this one starts afresh.
     if (!this->last_accepted)
--- a/src/core/request/stream_position.hpp
+++ b/src/core/request/stream_position.hpp
@@ -24,7 +24,7 @@
     /// Starts a run when its response head arrives.
     /// @param tag The `ETag` of the response; empty without one.
     /// @return    Whether the events of the run may be passed to the caller.
-    bool begin(std::string_view tag);
+    bool begin_run(std::string_view tag);
 
     /// Checks an event with data before it is passed to the caller.
     /// @param id The event's id; empty without one.
@@ -44,7 +44,7 @@
     }
 
     /// Marks the stream as not resumable.
-    void give_up()
+    void disable_resume()
     {
         this->can_resume = false;
     }
--- a/tests/fuzz/fuzz_sse.cpp
+++ b/tests/fuzz/fuzz_sse.cpp
@@ -54,10 +54,10 @@
 outcome join(std::string_view text, std::size_t piece)
 {
     roseworks::stream_position position;
-    position.begin("g");
+    position.begin_run("g");
     position.accept("6");
     position.accept("7");
-    position.begin("g");
+    position.begin_run("g");
     outcome result = read(text, piece, &position);
     require(position.last_id() == 7 + result.tokens);
     require(position.resumable() || !result.fits);
--- a/tests/unit/dispatch/test_shared_retry_budget.cpp
+++ b/tests/unit/dispatch/test_shared_retry_budget.cpp
@@ -39,7 +39,7 @@
         {
             shared_retry_budget one = make_budget(0.2, 50);
             for (int request = 0; request < 10; ++request)
-                one.requested(at(0s));
+                one.record_request(at(0s));
             sum += withdrawn(one, routers);
         }
         cr_assert_leq(sum, 2 * routers + 50);
@@ -51,11 +51,11 @@
 {
     shared_retry_budget budget = make_budget(0.5, 0);
     for (int request = 0; request < 10; ++request)
-        budget.requested(at(0s));
+        budget.record_request(at(0s));
     cr_assert_eq(withdrawn(budget, 1), 5);
     cr_assert_eq(budget.available(1, at(8900ms)), 0);
     for (int request = 0; request < 4; ++request)
-        budget.requested(at(9500ms));
+        budget.record_request(at(9500ms));
     // The counts from the start have left the window.
     cr_assert_eq(budget.available(1, at(10500ms)), 2);
     cr_assert_eq(budget.available(1, at(60s)), 0);
