--- a/src/core/admission/admission_queue.hpp
+++ b/src/core/admission/admission_queue.hpp
@@ -12,14 +12,14 @@
 inline constexpr std::size_t class_count = 3;
 
 /** Queue of the requests that wait for one target, in strict priority order
-   with ageing.
+    with ageing.
 
-    The highest waiting class goes first; `fair_share` orders the requests
-   inside a class. A request that has waited for `ageing` competes one class
-   higher, after twice that time two classes higher, and so on. One grant in
+    The highest waiting class goes first. `fair_share` orders the requests
+    inside a class. A request that has waited for `ageing` competes one class
+    higher, after twice that time two classes higher, and so on. One grant in
     `aged_grant_interval` goes to the oldest request whose aged class is at
-   least as high as the highest waiting class. So no request starves, and a
-   backlog of old batch requests takes at most that share from urgent ones.
+    least as high as the highest waiting class. So no request starves, and a
+    backlog of old batch requests takes at most that share from urgent ones.
 
     Advisory: an error here cannot break a guarantee.
 */
@@ -73,10 +73,9 @@
     std::vector<ticket> visit_waiting(const visitor& visit) const;
 
     /// @return The request that a request of the given class may displace. It
-    /// is
-    ///         taken from the lowest waiting class, if that is lower than the
-    ///         given one: of the caller with the most requests, the one with
-    ///         the latest deadline.
+    ///         belongs to the lowest waiting class, which must be lower than
+    ///         the given one, and to the caller with the most requests there.
+    ///         Of these it has the latest deadline. Empty if there is none.
     std::optional<queue_item> displacement_candidate(priority below) const;
 
     /// @return The highest waiting class; empty if no request waits.
@@ -100,8 +99,7 @@
     }
 
     /// @return Number of waiting requests with short prompts. Batch requests
-    /// are
-    ///         counted only if `allow_batch` is set.
+    ///         are counted only if `allow_batch` is set.
     std::size_t short_prompt_count(bool allow_batch) const;
 
 private:
--- a/src/core/admission/fair_share.hpp
+++ b/src/core/admission/fair_share.hpp
@@ -20,7 +20,7 @@
     Uses start-time fair queueing. Each caller has a start tag in virtual time,
     which advances by cost / weight when the caller is served. The caller with
     the lowest tag goes next. A caller that was idle restarts at the virtual
-   time of the class, so it gains nothing by idling. Among the requests of one
+    time of the class, so it gains nothing by idling. Among the requests of one
     caller, the earliest deadline goes first. Long prompts are stored separately
     so that they can be skipped.
 
@@ -59,16 +59,15 @@
 
     /** Visits each request, by caller and then by deadline.
 
-        @param examine Callback. A request for which it returns false is not
-                       counted in the estimates of later requests.
-        @return        The requests for which it returned false. They are not
-                       removed.
+        @param visit Callback. A request for which it returns false is not
+                     counted in the estimates of later requests.
+        @return      The requests for which it returned false. They are not
+                     removed.
     */
     std::vector<ticket> visit_waiting(const visitor& visit) const;
 
     /// @return The request with the latest deadline, of the caller with the
-    /// most
-    ///         waiting requests.
+    ///         most waiting requests.
     std::optional<ticket> displacement_candidate() const;
 
     /// @return The earliest deadline; empty if no request waits.
--- a/src/core/admission/wait_estimator.hpp
+++ b/src/core/admission/wait_estimator.hpp
@@ -36,8 +36,8 @@
 
 /** Predicts when a request of one target can start and how long it takes.
 
-    Errs on the side of accepting requests: without samples, every estimate is
-   0.
+    Errs on the side of accepting requests: without samples, the estimates are
+    0.
 
     Advisory: an error here cannot break a guarantee.
 */
--- a/src/core/request/dispatcher_impl.hpp
+++ b/src/core/request/dispatcher_impl.hpp
@@ -76,7 +76,8 @@
         bool suspect = false;
         bool may_have_run = false; ///< an attempt may have reached a server
         bool resumed = false;      ///< its stream was continued after a cut
-        /// Not granted until all its crashes have been examined.
+        /// Neither granted nor refused for its crashes until their servers have
+        /// been examined.
         bool awaits_crash_findings = false;
         std::uint32_t attempts = 0; ///< granted so far
         /// Attempts granted since the caller last received tokens.
--- a/src/core/request/retry_budget.hpp
+++ b/src/core/request/retry_budget.hpp
@@ -32,9 +32,9 @@
     void deposit(instant now);
 
     /// Takes the token for a retry if there is one.
-    /// @param spare Leave the last third of the capacity to more urgent
-    /// retries.
-    /// @return      Whether the retry may be sent.
+    /// @param leave_reserve Leave the last third of the capacity to more urgent
+    ///                      retries.
+    /// @return              Whether the retry may be sent.
     bool withdraw(instant now, bool leave_reserve = false);
 
 private:
--- a/tests/unit/dispatch/test_prefix_affinity.cpp
+++ b/tests/unit/dispatch/test_prefix_affinity.cpp
@@ -129,7 +129,7 @@
     cr_expect(fixture.map.find(2, 200, fixture.now) == knowledge::fresh);
     cr_expect(fixture.map.find(2, 100, fixture.now) == knowledge::none);
     fixture.map.reported(report_of(0, {{1, 100, true}}, 3), fixture.now);
-    cr_expect(fixture.map.size() == 3, "no room for another engine's");
+    cr_expect(fixture.map.size() == 3, "no room for another engine");
 }
 
 Test(prefix_affinity, equal_engine_and_replica_ids_spread_the_prefixes)
--- a/tests/unit/dispatch/test_shared_engines.cpp
+++ b/tests/unit/dispatch/test_shared_engines.cpp
@@ -23,7 +23,7 @@
     const auto seen = run_shared_engines(setup);
     cr_assert_geq(seen.urgent_timely, 0.99);
     cr_assert_geq(seen.least_urgent_timely, 0.97);
-    cr_assert_geq(seen.goodput, 0.95 * 100, "of the slots' 100 calls a second");
+    cr_assert_geq(seen.goodput, 0.95 * 100, "the capacity is 100 calls/s");
     cr_assert_leq(seen.engine_waiting, 1);
     cr_assert_leq(seen.cut, 30);
     cr_assert_eq(seen.refused_late, 0);
