--- a/src/core/admission/admission_queue.hpp
+++ b/src/core/admission/admission_queue.hpp
@@ -11,68 +11,74 @@
 /// Number of priority classes.
 inline constexpr std::size_t class_count = 3;
 
-/** Requests that wait for one target: strict class order with ageing.
+/** Queue of the requests that wait for one target, in strict priority order
+    with ageing.
 
-    The best class that waits goes first, by `fair_share`. A request that has
-    waited for `ageing` competes one class higher, after twice that two higher,
-    and so on. One grant in `aged_share` goes to the oldest request whose aged
-    class is at least as good as the best that waits: nothing starves, and a
-    backlog of old batch work takes no more than that share from urgent work.
+    The highest waiting class goes first. `fair_share` orders the requests
+    inside a class. A request that has waited for `ageing` competes one class
+    higher, after twice that time two classes higher, and so on. One grant in
+    `aged_grant_interval` goes to the oldest request whose aged class is at
+    least as high as the highest waiting class. So no request starves, and a
+    backlog of old batch requests takes at most that share from urgent ones.
 
-    Hint.
+    Advisory: an error here cannot break a guarantee.
 */
 class admission_queue
 {
 public:
-    /// One grant in this many may go to aged work ahead of better classes.
-    static constexpr std::uint32_t aged_share = 4;
+    /// One grant in this many may go to an aged request ahead of higher
+    /// classes.
+    static constexpr std::uint32_t aged_grant_interval = 4;
 
-    /// What may be chosen just now.
+    /// Which requests may be chosen.
     struct filter
     {
         bool allow_batch = true;
         bool allow_long = true;
     };
 
-    /// A choice; `take` it, or leave it.
+    /// A chosen request. It stays queued unless passed to `take`.
     struct choice
     {
         queue_item item;
         bool aged = false; ///< chosen by age, not by class
     };
 
-    explicit admission_queue(duration wait_worth_a_class);
+    explicit admission_queue(duration ageing_interval);
 
     void push(const queue_item& item);
 
-    /// @return Whether it waited here.
+    /// @return Whether the request was queued here.
     bool erase(ticket id);
 
-    /// @return Who goes next under the filter, empty when nobody may.
+    /// @return The next request that the filter allows; empty if there is none.
     std::optional<choice> next(const filter& allowed, instant now) const;
 
-    /// Removes a choice and charges its caller.
+    /// Removes a chosen request and charges its caller.
     void take(const choice& chosen);
 
-    /// @return Estimate of how many go before this request.
+    /// @return Estimated number of requests that go before this one.
     std::size_t ahead_of(const queue_item& item) const;
 
-    /// Called for each request with the estimate of those before it.
-    /// @return Whether the request goes on waiting.
-    using examiner =
+    /// Called for each request with the estimated number of requests before it.
+    /// @return Whether the request keeps waiting.
+    using visitor =
         std::function<bool(const queue_item& item, std::size_t ahead)>;
 
-    /** Examine each request, best class first.
+    /** Visits each request, highest class first.
 
-        @return Those that don't go on waiting; they aren't removed yet.
+        @return The requests for which the callback returned false. They are not
+                removed.
     */
-    std::vector<ticket> examine_all(const examiner& examine) const;
+    std::vector<ticket> visit_waiting(const visitor& visit) const;
 
-    /// @return Whom work of this class may displace: the worst class that
-    ///         waits, when it is worse; its longest line; its last deadline.
-    std::optional<queue_item> least_wanted(priority below) const;
+    /// @return The request that a request of the given class may displace. It
+    ///         belongs to the lowest waiting class, which must be lower than
+    ///         the given one, and to the caller with the most requests there.
+    ///         Of these it has the latest deadline. Empty if there is none.
+    std::optional<queue_item> displacement_candidate(priority below) const;
 
-    /// @return The best class that waits, empty when nobody does.
+    /// @return The highest waiting class; empty if no request waits.
     std::optional<priority> best_class() const;
 
     std::optional<instant> earliest_deadline() const;
@@ -92,8 +98,9 @@
         return this->classes[index(level)].size();
     }
 
-    /// @return Short prompts that wait, batch work only when it is allowed.
-    std::size_t short_size(bool allow_batch) const;
+    /// @return Number of waiting requests with short prompts. Batch requests
+    ///         are counted only if `allow_batch` is set.
+    std::size_t short_prompt_count(bool allow_batch) const;
 
 private:
     static std::size_t index(priority level)
@@ -109,7 +116,7 @@
     std::array<std::set<std::pair<instant, std::uint64_t>>, class_count>
         arrivals;
     std::unordered_map<ticket, queue_item> items;
-    std::uint32_t since_aged = 0;
+    std::uint32_t grants_since_aged = 0;
 };
 
 } // namespace roseworks::detail
--- a/src/core/request/crash_count.hpp
+++ b/src/core/request/crash_count.hpp
@@ -11,35 +11,38 @@
 namespace roseworks::detail
 {
 
-/** The connections that broke under one request, by backend server.
+/** Counts the connections that broke while they carried one request, by backend
+    server.
 
-    Each counts as a crash until its server is found to have survived. Hint.
+    Each counts as a crash until its server is found to have survived.
+
+    Advisory: an error here cannot break a guarantee.
 */
 class crash_count
 {
 public:
-    /// A connection broke.
-    /// @return Whether the server has to be examined; false while an earlier
-    ///         break there counts.
-    bool broke(engine_id engine, std::string_view address);
+    /// Counts a broken connection.
+    /// @return Whether the server must be examined. False if an earlier break
+    ///         of the same server is already counted.
+    bool record_break(engine_id engine, std::string_view address);
 
-    /// A server was examined.
-    /// @return Whether breaks there were counted.
-    bool
-    examined(engine_id engine, std::string_view address, crash_finding finding);
+    /// Records the result of examining a server.
+    /// @return Whether broken connections to that server were counted.
+    bool record_finding(
+        engine_id engine, std::string_view address, crash_finding finding);
 
-    /// @return Breaks that count.
+    /// @return Number of broken connections that count as crashes.
     std::uint32_t total() const;
 
-    /// @return Whether all that count were examined.
-    bool settled() const;
+    /// @return Whether all servers with counted breaks were examined.
+    bool all_examined() const;
 
 private:
     struct server
     {
         engine_id engine;
         std::string address;
-        std::uint32_t breaks = 0;
+        std::uint32_t broken_connections = 0;
         bool examined = false;
     };
 
--- a/src/core/request/interval_estimate.hpp
+++ b/src/core/request/interval_estimate.hpp
@@ -8,21 +8,24 @@
 namespace roseworks
 {
 
-/** What length an interval is expected to have, from those seen.
+/** Estimates the length of an interval from samples.
 
-    Smoothed mean and mean deviation with the gains of TCP's retransmission
-    timer (RFC 6298). A hint.
+    Uses a smoothed mean and mean deviation with the gains of TCP's
+    retransmission timer (RFC 6298).
+
+    Advisory: an error here cannot break a guarantee.
 */
 class interval_estimate
 {
 public:
-    /// Samples below which nothing is expected.
-    static constexpr std::uint32_t wanted_samples = 4;
+    /// With fewer samples than this there is no estimate.
+    static constexpr std::uint32_t min_samples = 4;
 
     void add(duration sample);
 
-    /// @return Twice the mean and four deviations; empty while unknown.
-    std::optional<duration> longest_expected() const;
+    /// @return Twice the mean plus four mean deviations; empty if there are too
+    ///         few samples.
+    std::optional<duration> upper_bound() const;
 
 private:
     std::uint32_t samples = 0;
