--- a/bench/swapping/bench_swapping.cpp
+++ b/bench/swapping/bench_swapping.cpp
@@ -1,4 +1,5 @@
-// One round of the swap planner over engines, models and needs of a size.
+// Measures one round of the swap planner with different numbers of engines,
+// models and awaited models.
 
 #include "core/serving/servable_key.hpp"
 #include "core/swapping/swap_planner.hpp"
@@ -46,8 +47,8 @@
     return made;
 }
 
-/// Every engine holds three models, has ten more on its disk, and runs
-/// something.
+/// Adds engines that each have three models loaded, two of them with running
+/// requests, and ten models on disk.
 void fill(
     engine_book& engines,
     need_book& needs,
--- a/src/core/swapping/demand_meter.cpp
+++ b/src/core/swapping/demand_meter.cpp
@@ -39,7 +39,7 @@
 
 void demand_meter::tick(instant now)
 {
-    /// Of a request: one is forgotten after some seven half-lives.
+    /// A single request decays to this after about seven half-lives.
     constexpr double least = 0.01;
     std::erase_if(
         this->rows,
--- a/src/core/swapping/demand_meter.hpp
+++ b/src/core/swapping/demand_meter.hpp
@@ -10,35 +10,37 @@
 namespace roseworks
 {
 
-/** How often each model is asked for, its adapters included. Hint.
+/** Estimates how often each model is requested, its adapters included.
 
-    Counts fade: a model that nobody asks for any more counts half after each
-    half-life.
+    A request's weight halves after each half-life. The estimate only guides
+    decisions; correctness doesn't depend on it.
 */
 class demand_meter
 {
 public:
     struct options
     {
-        /// Long enough for a rare model, which is asked for some times a
-        /// minute, to be told from one that isn't asked for at all.
+        /// Long enough to distinguish a rare model, which gets a few requests a
+        /// minute, from one that gets none.
         duration half_life = std::chrono::seconds(30);
     };
 
     explicit demand_meter(options settings);
 
+    /// Counts requests.
     /// @param servable Key of the model or of one of its adapters.
     void add(std::string_view servable, std::uint32_t requests, instant now);
 
-    /// @param model Its key.
-    /// @return Requests for it, those long ago counted less.
+    /// @param model Key of the model.
+    /// @return Decayed count of requests for the model and its adapters.
     double of(const std::string& model, instant now) const;
 
-    /// @param model Its key.
-    /// @return The same as requests a second, were they always as many.
+    /// @param model Key of the model.
+    /// @return Requests per second: the steady rate that would give the decayed
+    ///         count.
     double rate(const std::string& model, instant now) const;
 
-    /// Forgets models that were hardly asked for.
+    /// Removes models whose decayed count is negligible.
     void tick(instant now);
 
 private:
@@ -51,7 +53,7 @@
     double faded(const row& counted, instant now) const;
 
     options settings;
-    std::unordered_map<std::string, row> rows; ///< by the model's key
+    std::unordered_map<std::string, row> rows; ///< by model key
 };
 
 } // namespace roseworks
--- a/src/core/swapping/departure_meter.hpp
+++ b/src/core/swapping/departure_meter.hpp
@@ -10,36 +10,38 @@
 namespace roseworks
 {
 
-/** How likely an engine is to go away soon, by how many of them did lately.
+/** Estimates the probability that an engine is lost soon, from recent losses.
 
-    Load pattern: the engines of a release, or of a failed rack, go one after
-   the other within seconds, and what only they had on their disks goes with
-   them. Hint.
+    Engines that are replaced by a release, or that share a failed rack, go one
+    after the other within seconds. Weights that only their disks have are lost
+    with them. The estimate only guides decisions; correctness doesn't depend
+    on it.
 */
 class departure_meter
 {
 public:
     struct options
     {
-        /// An engine that went so long ago says little of the next one.
+        /// Older losses say little about the next one.
         duration memory = std::chrono::seconds(30);
-        /// Of an engine that nothing is known of: some in a hundred crash or
-        /// are taken away within a minute.
+        /// Lower bound of the estimate, for when few engines were lost
+        /// recently: a few in a hundred crash or are removed within a minute.
         double least = 0.02;
     };
 
     explicit departure_meter(options settings);
 
-    /// @param staying Ids of the engines that are there and don't leave.
+    /// Counts the engines that are gone since the previous call as lost.
+    /// @param staying Ids of the engines that are listed and not leaving.
     void seen(std::set<std::string> staying, instant now);
 
-    /// @return Chance that an engine goes away within the memory's time.
+    /// @return Probability that an engine is lost within the window.
     double chance() const;
 
 private:
     options settings;
     std::set<std::string> staying;
-    std::deque<instant> departed; ///< lately, the last one last
+    std::deque<instant> departed; ///< within the window, newest last
 };
 
 } // namespace roseworks
--- a/src/core/swapping/engine_book.cpp
+++ b/src/core/swapping/engine_book.cpp
@@ -16,7 +16,7 @@
     return std::ranges::find(list, name) != std::ranges::end(list);
 }
 
-/// What an engine that wasn't examined yet is known to have on disk.
+/// Takes over the lists of copies in host memory and on disk.
 void take_copies(engine_state& engine, const engine_holdings& told)
 {
     engine.in_memory.assign(told.in_memory.begin(), told.in_memory.end());
@@ -210,7 +210,8 @@
     engine->last_order = now;
     if (order.action == engine_action::unload)
     {
-        // From now on no request may be sent there for it.
+        // The model counts as unloaded at once: no request may be sent to the
+        // engine for it.
         if (const held_model* held = engine->find(order.model))
             order.taken = *held;
         this->carry_out(*engine, order, now);
@@ -247,13 +248,13 @@
         order.done_at = now + this->order_time(*engine, order);
         if (order.adapter.empty() || order.action == engine_action::load)
             return false;
-        // Requests still use the adapter: its place isn't free yet.
+        // Requests still use the adapter, so its slot isn't free yet.
         this->undo(*engine);
         engine->examined = false;
         return true;
     case command_end::already_so:
-        // An adapter's order counts, also when it is done at once; that of a
-        // model which is there already doesn't.
+        // The engine counts an adapter's order even when it is done at once. It
+        // doesn't count the load of a model that is loaded already.
         if (!order.adapter.empty())
             ++engine->orders_taken;
         order.done_at = now;
@@ -279,7 +280,8 @@
     return !engine->examined;
 }
 
-/// The order wasn't taken, as far as is known.
+/// Reverts the effect of the pending order, which as far as known wasn't
+/// accepted.
 void engine_book::undo(engine_state& engine)
 {
     const pending_order order = std::move(*engine.order);
--- a/src/core/swapping/engine_book.hpp
+++ b/src/core/swapping/engine_book.hpp
@@ -28,7 +28,7 @@
     store   ///< the shared weight store
 };
 
-/// @return The word for logs and metrics.
+/// @return The source's name in logs and metrics.
 constexpr std::string_view to_string(weight_source source)
 {
     switch (source)
@@ -43,7 +43,7 @@
     return "unknown";
 }
 
-/// An adapter beside its model.
+/// An adapter in an engine's accelerator memory.
 struct held_adapter
 {
     std::string name;
@@ -55,8 +55,8 @@
 {
     std::string name;
     double weights_mb = 0;
-    double adapter_mb = 0; ///< of each adapter
-    instant loaded;        ///< known to be there since
+    double adapter_mb = 0; ///< size of each adapter
+    instant loaded;        ///< when it was first known to be loaded
     std::vector<held_adapter> adapters;
 
     double size_mb() const
@@ -66,19 +66,21 @@
     }
 };
 
-/// An order that was sent, or is being carried out.
+/// An order that was sent and isn't known to be done.
 struct pending_order
 {
-    std::uint64_t number = 0; ///< tells it from all others of its owner's run
+    std::uint64_t number = 0; ///< unique within the owner's run
     engine_action action = engine_action::load;
     std::string model;
     std::string adapter; ///< empty: the base model
     weight_source source = weight_source::disk;
     instant sent;
-    std::optional<instant> done_at;  ///< expected; empty: not answered yet
-    std::optional<held_model> taken; ///< what an unload takes away
-    bool running = false;            ///< requests ran on what is unloaded
-    /// The most loads from the store that ran at once since it was sent.
+    /// Expected completion. Empty until the order is answered, and again when
+    /// only the engine's report can show whether a load from the store ended.
+    std::optional<instant> done_at;
+    std::optional<held_model> taken; ///< model that an unload removes
+    bool running = false; ///< requests ran on the model that is unloaded
+    /// Peak number of concurrent loads from the store since it was sent.
     std::size_t at_once = 1;
 
     bool is_store_load() const
@@ -88,24 +90,24 @@
     }
 };
 
-/** One run of an engine as the owner of its orders knows it: by its last
-    report and the orders that it accepted since. */
+/// State of one run of an engine, as the placement owner derives it from the
+/// engine's last report and the orders that it has accepted since.
 struct engine_state
 {
     server_entry entry;
-    bool examined = false; ///< a report was read since it was taken up
-    bool reachable = true; ///< by the last attempt
-    double rate_limit = 0; ///< requests a second that it takes; 0: none named
-    std::uint64_t orders_taken = 0; ///< by the engine, since its start
+    bool examined = false; ///< the state is confirmed by a report
+    bool reachable = true; ///< result of the last attempt
+    double rate_limit = 0; ///< requests per second; 0: the engine named none
+    std::uint64_t orders_taken = 0; ///< accepted since the engine's start
     std::vector<held_model> held;
-    std::deque<std::string> in_memory; ///< copies, last used last
-    std::vector<std::string> on_disk;  ///< copies
+    std::deque<std::string> in_memory; ///< in host memory, last used last
+    std::vector<std::string> on_disk;  ///< copies on the engine's disk
     std::optional<pending_order> order;
-    instant not_before = instant::min(); ///< no order is sent earlier
-    instant last_order = instant::min(); ///< this router's, sent
-    std::uint32_t strikes = 0;           ///< orders out of step in a row
-    bool retaken = false;       ///< another owner may have ordered it meanwhile
-    std::uint64_t revision = 1; ///< of what is told to the routers
+    instant not_before = instant::min(); ///< no order is sent before this time
+    instant last_order = instant::min(); ///< when this router last sent one
+    std::uint32_t strikes = 0;           ///< consecutive orders out of step
+    bool retaken = false;       ///< another owner may have sent it orders
+    std::uint64_t revision = 1; ///< of the announced content
 
     /// @return Whether an order may be sent.
     bool free(instant now) const
@@ -117,34 +119,34 @@
     const held_model* find(std::string_view model) const;
     held_model* find(std::string_view model);
 
-    /// @return Whether it has a model or adapter, by its key.
+    /// @return Whether a model or adapter, named by its key, is loaded.
     bool holds(std::string_view servable) const;
 
-    /// @return Memory that models and adapters take.
+    /// @return Accelerator memory that the models and adapters occupy.
     double used_mb() const;
 
     std::size_t adapter_count() const;
 
-    /// @return The nearest place of a model's weights.
+    /// @return Fastest source of a model's weights.
     weight_source source_of(std::string_view model) const;
 
     engine_residency residency(std::uint64_t tenure) const;
 };
 
-/// An order that counts as done.
+/// An order that is assumed to be done.
 struct finished_order
 {
-    std::string engine;   ///< id of its entry
+    std::string engine;   ///< id of the engine's entry
     std::string servable; ///< key of the model or adapter
 };
 
-/** The engines that the placement owner orders.
+/** Tracks the state of the engines to which the placement owner sends orders.
 
-    Pure bookkeeping: orders are entered when they are sent and when they are
-    answered; one that was accepted counts as done when its usual time has
-    passed, which is earlier than the engine's report shows it by the report's
-    lag. An answer that doesn't fit, or none, makes the engine unexamined until
-    a report is read.
+    The class does no I/O: the caller records each order when it is sent and
+    when it is answered. An accepted order is assumed to be done after its usual
+    time, because the engine's report would show it only after the report's
+    lag. After an unexpected answer, or none, the engine's state is unconfirmed
+    until a report has been read.
 */
 class engine_book
 {
@@ -153,83 +155,97 @@
 
     struct options
     {
-        /// Added to a load's stated time: the answer's way and the engine's
-        /// own step until it takes requests.
+        /// Added to a load's configured time: for the way of the answer, and
+        /// for the engine to accept requests after the load.
         duration load_margin = std::chrono::milliseconds(20);
-        /// An idle model's unloading.
+        /// Time to unload an idle model.
         duration unload_time = std::chrono::milliseconds(50);
-        /// The same while some requests still run on it.
+        /// Time to unload a model on which a few requests still run.
         duration busy_unload_time = std::chrono::milliseconds(250);
-        /// An adapter's loading from the store; the stated times are less.
+        /// Time to load an adapter from the store, which exceeds the
+        /// configured times.
         duration adapter_time = std::chrono::milliseconds(25);
-        /// Until an order that came too early for the one before is tried anew.
+        /// Pause before another order after one that failed or whose outcome is
+        /// unknown; for example one that came before the engine had finished
+        /// its previous order.
         duration step_wait = std::chrono::milliseconds(50);
-        /// Orders out of step in a row after which the engine is examined.
+        /// Consecutive orders out of step after which the engine's report is
+        /// read.
         std::uint32_t most_strikes = 3;
     };
 
     explicit engine_book(options settings);
 
-    /// A new configuration, which has the models' sizes and times.
+    /// Sets the configuration, which contains the models' sizes and load times.
     void configured(std::shared_ptr<const deployment> next);
 
-    /// An engine is in the registry. A new run of it has to be examined.
-    /// @return Whether it has to be examined.
+    /// Adds an engine of the registry, or updates its entry. A changed start
+    /// time or address means that it is a new run, whose state is unconfirmed.
+    /// @return Whether the engine's report has to be read.
     bool listed(const server_entry& entry);
 
-    /// An engine is gone from the registry.
+    /// Removes an engine that is no longer in the registry.
     void removed(std::string_view id);
 
-    /** This router owns placement anew: nothing known may be trusted.
+    /** Marks all known state as unconfirmed when this router becomes owner.
 
-        Two owners may not order an engine in turn within the lease. Whether
-        another one ordered it in between shows when it is examined: by the
-        count of orders that it has taken. Not if it was the very order that the
-        engine was carrying out: that is answered alike and not counted.
+        Two owners must not send orders to one engine alternately within the
+        lease. The engine's count of accepted orders shows whether another owner
+        has sent it orders in between. One case doesn't show: the engine doesn't
+        count a repetition of the order that it is carrying out, although it
+        answers it in the same way.
 
-        @param another_owned Another owner was heard of since the last tenure:
-                             each engine ordered before has to be waited for.
+        @param another_owned Another owner was observed since this router's last
+                             tenure: every engine to which this router has sent
+                             an order gets none until the lease has passed.
     */
     void take_over(duration lease, bool another_owned);
 
-    /// A report was read.
+    /// Replaces the engine's state with its report. The report of a busy engine
+    /// is ignored.
     void reported(std::string_view id, const holdings_report& report, instant);
 
+    /// Records that an order was sent.
     void sent(std::string_view id, pending_order order, instant now);
 
-    /// An order was answered, or wasn't.
-    /// @return Whether the engine has to be examined.
+    /// Records the outcome of the pending order.
+    /// @return Whether the engine's report has to be read.
     bool answered(std::string_view id, command_end how, instant now);
 
-    /// @return Orders that count as done since the last call.
+    /// Completes the orders whose expected time has come, except loads from the
+    /// store.
+    /// @return The completed orders.
     std::vector<finished_order> advance(instant now);
 
-    /** Engines whose load from the store could have ended since the last call.
+    /** Returns engines whose load from the store may have ended.
 
-        How long one takes depends on how many run at once, over all engines:
-        whether it has ended is read from the engine's report.
+        Each load is returned once. Its duration depends on how many loads run
+        concurrently on all engines, so that only the engine's report shows
+        whether it has ended.
     */
     std::vector<std::string> take_uncertain(instant now);
 
-    /// @return When `advance` has something next.
+    /// @return Earliest expected completion of an order.
     std::optional<instant> next_event() const;
 
-    /** The engine couldn't be reached.
+    /** Marks an engine as unreachable until its report has been read.
 
-        Until a report of it was read, what it holds serves nobody, and what
-        waits for it is loaded elsewhere: an engine that is gone without a word
-        stays in the registry for some seconds.
+        Meanwhile its models count as unavailable and are loaded on other
+        engines. An engine that has crashed remains in the registry for some
+        seconds.
     */
     void unreached(std::string_view id);
 
-    /// Rate limits that engines name now, in requests a second, by their ids.
+    /// Sets the rate limits that engines currently name, in requests per
+    /// second by engine id. Engines that aren't listed have no limit.
     void limits_named(const std::map<std::string, double, std::less<>>& all);
 
-    /// Another run answers at its address: the same, and its orders' count
-    /// begins anew should it be the engine's own after all.
+    /// Handles that a different run answers at the engine's address. The engine
+    /// is marked as unreachable. Its order count is reset, because the answer
+    /// may come from a restart of the engine itself.
     void run_over(std::string_view id);
 
-    /// Something contradicts what is known of the engine.
+    /// Marks an engine's state as unconfirmed.
     void distrust(std::string_view id);
 
     const engines& all() const
@@ -239,13 +255,13 @@
 
     const engine_state* find(std::string_view id) const;
 
-    /// @return Null when the configuration has no such model.
+    /// @return Null when the configuration doesn't contain the model.
     const model_profile*
     find_model(std::string_view service, std::string_view model) const;
 
     const engine_profile* find_profile(std::string_view service) const;
 
-    /// @return Usual time of a load.
+    /// @return Expected duration of a load.
     duration load_time(const model_profile& model, weight_source from) const;
 
 private:
--- a/src/core/swapping/load_ceiling.hpp
+++ b/src/core/swapping/load_ceiling.hpp
@@ -8,13 +8,14 @@
 namespace roseworks
 {
 
-/** Keeps loads from the shared weight store under its rate.
+/** Limits the rate and the concurrency of loads from the shared weight store.
 
-    Load pattern: models that are on no engine's disk are asked for together.
-    The store then is the bottleneck for seconds a load; more loads at once only
-    make each longer, and more than its rate in a window is refused to the
-    deployment as a whole. A new owner doesn't know the loads of the one before
-    and starts with a full window counted as used.
+    Models that are on no engine's disk may be requested together. The store is
+    the bottleneck then, for seconds per load: further concurrent loads only
+    make each one slower, and the store refuses loads to the whole deployment
+    when more than its rate start within a window. A new placement owner doesn't
+    know which loads the previous owner started, so only a share of the limit
+    is used.
 */
 class load_ceiling
 {
@@ -22,26 +23,31 @@
     struct options
     {
         duration window = std::chrono::seconds(5);
+        /// Loads that the store accepts within a window, as a multiple of its
+        /// rate.
         double factor = 1.1;
-        /// Of the rate that is used: loads that an owner before this one began
-        /// may be counted in the same window.
+        /// Share of the limit that is used: the store may count loads that the
+        /// previous owner started in the same window.
         double caution = 0.8;
-        /// Loads at once, until it was seen how many the store does at full
-        /// speed: beyond that each only takes longer in proportion.
+        /// Concurrent loads until the store's capacity has been observed.
+        /// Beyond its capacity each load takes longer in proportion.
         std::size_t parallel = 4;
         std::size_t most_parallel = 16;
-        /// A load that takes so much longer than stated was slowed down by
-        /// others. (The report that shows its end lags by 0.2 s.)
+        /// A load whose duration exceeds the configured one by this factor was
+        /// slowed down by concurrent loads. The factor allows for the report
+        /// that shows the load's end, which lags by 0.2 s.
         double slowed = 1.2;
     };
 
     explicit load_ceiling(options settings);
 
-    /// @param per_second that the store allows.
-    /// @param running    loads from the store now.
+    /// @param per_second Loads per second that the store allows.
+    /// @param running    Loads from the store that are in progress.
+    /// @return Whether another load may start now.
     bool allows(double per_second, std::size_t running, instant now);
 
-    /// @return Loads that the store does at once at full speed, as seen.
+    /// @return Observed number of concurrent loads that the store serves at
+    ///         full speed.
     std::size_t most_at_once() const
     {
         return this->parallel;
@@ -49,14 +55,18 @@
 
     void began(instant now);
 
-    /// A load has ended.
-    /// @param at_once The most loads that ran beside it, itself included.
+    /// Adjusts the concurrency limit after a load has ended.
+    /// @param took    Measured duration.
+    /// @param stated  Configured duration.
+    /// @param at_once Peak number of concurrent loads while this one ran,
+    ///                itself included.
     void ended(duration took, duration stated, std::size_t at_once);
 
 private:
     options settings;
-    std::size_t parallel; ///< as seen
-    std::deque<instant> starts;
+    std::size_t parallel; ///< current concurrency limit
+    std::deque<instant>
+        starts; ///< loads started within the window, oldest first
 };
 
 } // namespace roseworks
--- a/src/core/swapping/load_outlook.hpp
+++ b/src/core/swapping/load_outlook.hpp
@@ -7,11 +7,11 @@
 namespace roseworks
 {
 
-/// When a model that no engine has is expected to be on one. Hint: the owner's
-/// plan may change.
+/// Time at which a model that no engine has is expected to be loaded. The
+/// placement owner's plan, and so the time, may change.
 struct load_outlook
 {
-    std::string model; ///< its key
+    std::string model; ///< key of the model
     instant ready;
 };
 
--- a/src/core/swapping/need_book.cpp
+++ b/src/core/swapping/need_book.cpp
@@ -18,7 +18,8 @@
     return now + duration(std::clamp(micros, -farthest, farthest));
 }
 
-/// Those that can still meet their objective go first.
+/// Servables that can still meet an objective come first; the others have
+/// `instant::max()`.
 bool goes_before(const wanted_servable& left, const wanted_servable& right)
 {
     return std::tie(left.objective, left.deadline, left.servable) <
@@ -45,8 +46,8 @@
 bool need_book::heard(const router_word& word, instant now)
 {
     router_row& row = this->rows[word.router];
-    // Numbers of runs are times of day, which may be set back: after a silence
-    // another run is the one that lives.
+    // A run's number is its start by wall clock, which may be set back. After
+    // a silence, a report with a lower number comes from the live run.
     const bool silent = now - row.heard >= this->settings.router_lifetime;
     const bool older = (word.run < row.run && !silent) ||
                        (word.run == row.run && word.sequence <= row.sequence);
@@ -67,7 +68,8 @@
                 ? instant::max()
                 : in_future(now, need.objective_in_us);
         need_row& before = row.needs[need.servable];
-        // Those that are refused are never sent to an engine.
+        // Requests that are refused never start on an engine, so demand has to
+        // count waiting requests, too.
         if (need.waiting > before.waiting)
             this->asked.add(need.servable, need.waiting - before.waiting, now);
         before = {
--- a/src/core/swapping/need_book.hpp
+++ b/src/core/swapping/need_book.hpp
@@ -16,83 +16,89 @@
 namespace roseworks
 {
 
-/// A model or adapter that requests wait for, over all routers.
+/// A model or adapter for which requests wait, summed over all routers.
 struct wanted_servable
 {
-    std::string servable; ///< its key
+    std::string servable; ///< key of the model or adapter
     std::uint32_t waiting = 0;
-    instant objective = instant::max(); ///< earliest that can be met
-    instant deadline;                   ///< earliest
-    std::vector<std::string> routers;   ///< where they wait
+    instant objective = instant::max(); ///< earliest that can still be met
+    instant deadline;                   ///< earliest one
+    std::vector<std::string> routers;   ///< at which requests wait
 };
 
-/** What all routers need and use, as they last told the owner. Hint.
+/** The waiting and running requests of all routers, from their latest reports.
 
-    A word counts until the next one of its router, and not for longer than its
-    lifetime: routers repeat what still waits.
+    An entry is valid until the router reports it anew, and no longer than its
+    lifetime: routers repeat what still waits or runs. The data may be
+    outdated and only guides decisions.
 */
 class need_book
 {
 public:
     struct options
     {
-        /// Routers repeat a need every 250 ms; two may be lost.
+        /// Routers repeat waiting requests every 250 ms; two reports in a row
+        /// may be lost.
         duration need_lifetime = std::chrono::milliseconds(800);
-        /// Uses are told every 100 to 500 ms.
+        /// Routers report running requests every 100 to 500 ms.
         duration use_lifetime = std::chrono::milliseconds(1500);
+        /// A router that is silent for this long isn't counted as active.
         duration router_lifetime = std::chrono::seconds(3);
-        /// Who used a servable on an engine so lately is told of its end.
+        /// Routers that used a servable on an engine within this time are told
+        /// when it is unloaded there.
         duration recent_use = std::chrono::seconds(10);
         demand_meter::options demand;
     };
 
     explicit need_book(options settings);
 
-    /// @return Whether the word is news; an older one changes nothing.
+    /// Applies a router's report.
+    /// @return False when the report is outdated; it is ignored then.
     bool heard(const router_word& word, instant now);
 
-    /// @return All that is waited for, earliest objective first, then those
-    ///         whose objective has passed, earliest deadline first.
+    /// @return All servables for which requests wait. Those that can still meet
+    ///         an objective come first, by objective; the others follow, by
+    ///         deadline.
     std::vector<wanted_servable> wanted(instant now) const;
 
-    /// What runs of one servable on one engine.
+    /// Requests for one servable that run on one engine.
     struct use
     {
         std::uint32_t running = 0;
-        instant last_used; ///< something ran then
+        instant last_used; ///< time of the last report that named it
     };
 
-    /// @return Null when nothing was heard of it.
+    /// @return Null when no router reported it recently.
     const use*
     find_use(std::string_view engine, std::string_view servable) const;
 
-    /// @param model Its key.
-    /// @return Requests for it, by all routers, those long ago counted less.
-    ///         One that waited before it was sent counts twice.
+    /// @param model Key of the model.
+    /// @return Decayed count of requests for it, over all routers. A request
+    ///         that waited before it was sent to an engine is counted twice.
     double demand(const std::string& model, instant now) const
     {
         return this->asked.of(model, now);
     }
 
-    /// @param model Its key.
-    /// @return The same as requests a second.
+    /// @param model Key of the model.
+    /// @return The same as requests per second.
     double demand_rate(const std::string& model, instant now) const
     {
         return this->asked.rate(model, now);
     }
 
-    /// @return Routers where requests wait for a servable.
+    /// @return Routers at which requests wait for a servable.
     std::vector<std::string>
     routers_waiting(std::string_view servable, instant now) const;
 
-    /// @return Routers that used a servable on an engine lately.
+    /// @return Routers that used a servable on an engine recently.
     std::vector<std::string>
     routers_using(std::string_view engine, std::string_view servable) const;
 
-    /// @return Routers that sent word lately.
+    /// @return Number of routers that reported recently.
     std::size_t routers(instant now) const;
 
-    /// Forgets what is too old to count.
+    /// Removes entries whose lifetime has ended.
     void tick(instant now);
 
 private:
--- a/src/core/swapping/ownership_wait.hpp
+++ b/src/core/swapping/ownership_wait.hpp
@@ -9,30 +9,32 @@
 namespace roseworks
 {
 
-/// What is known of this VM's run before this one.
+/// What is known about the router's previous run on this VM.
 enum class former_run : std::uint8_t
 {
-    unknown,     ///< there is no record of it
-    never_owned, ///< it never ordered an engine
-    owned        ///< it may have ordered engines, until it ended
+    unknown,     ///< no record of it was found
+    never_owned, ///< it never sent an order to an engine
+    owned        ///< it may have sent orders to engines until it ended
 };
 
-/** How long a router waits after its start before it owns placement.
+/** Returns how long a router waits after its start before it may own placement.
 
-    Failure prevented: a router that orders an engine, loses ownership with its
-    process, and orders that engine again within the lease, after another owner
-    did. A process that was started anew can't know its last order's time, so
-    that it waits for a whole lease, unless the run before it never owned: after
-    a failure of all VMs most of them never did, and the first to be back may
-    order at once.
+    Two owners must not send orders to one engine alternately within the lease.
+    That could happen when a router sends an order, restarts, and sends the
+    engine another order after a different owner did. A restarted process
+    doesn't know when its last order was sent, so it waits for a whole lease. It
+    doesn't have to wait when its previous run never owned placement. After a
+    failure of all VMs this is true of most routers, and the first one that is
+    back may send orders at once.
 
-    @param first_start The whole deployment starts just now: nothing was
-                       ordered before, and the other routers are yet to come.
+    @param first_start The whole deployment is starting: no order was ever
+                       sent, and other routers may still register.
 */
 constexpr duration
 ownership_wait(former_run before, bool first_start, duration lease)
 {
-    /// For the other routers' records: the stronger VMs apply.
+    /// Time for the other routers' records to arrive: routers on stronger VMs
+    /// apply for ownership first.
     constexpr duration settling = std::chrono::seconds(1);
     if (first_start)
         return settling;
--- a/src/core/swapping/peer_words.hpp
+++ b/src/core/swapping/peer_words.hpp
@@ -14,18 +14,18 @@
 namespace roseworks
 {
 
-/// Requests that wait at one router for a model or adapter. Times are left
-/// over when the word is sent: routers' clocks can't be compared.
+/// Requests that wait at one router for a model or adapter. Times are relative
+/// to the sending of the message, because the routers' clocks differ.
 struct servable_need
 {
-    /// No request of it can meet its objective any more.
+    /// None of the requests can meet its objective any more.
     static constexpr std::int64_t no_objective =
         std::numeric_limits<std::int64_t>::max();
 
-    std::string servable; ///< its key
+    std::string servable; ///< key of the model or adapter
     std::uint32_t waiting = 0;
-    std::int64_t objective_in_us = no_objective; ///< the earliest
-    std::int64_t deadline_in_us = 0;             ///< the earliest
+    std::int64_t objective_in_us = no_objective; ///< earliest one
+    std::int64_t deadline_in_us = 0;             ///< earliest one
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -38,8 +38,9 @@
     }
 };
 
-/// @return Time between two words of what a router runs: longer with many
-///         routers, so that the owner hears some 200 a second at most.
+/// @return Interval at which a router reports its running requests. It grows
+///         with the number of routers, which limits the owner's load to some
+///         200 reports a second.
 constexpr duration use_word_pause(std::size_t routers)
 {
     constexpr duration shortest = std::chrono::milliseconds(100);
@@ -49,13 +50,13 @@
         each * static_cast<duration::rep>(routers), shortest, longest);
 }
 
-/// What one router runs of a servable on one engine.
+/// Requests for one model or adapter that a router runs on one engine.
 struct servable_use
 {
-    std::string servable; ///< its key
+    std::string servable; ///< key of the model or adapter
     std::string engine;   ///< id of the engine's entry
     std::uint32_t running = 0;
-    std::uint32_t started = 0; ///< since the word before
+    std::uint32_t started = 0; ///< since the previous report
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -64,16 +65,16 @@
     }
 };
 
-/// A router's word to the placement owner. Lost or late words only cost time:
-/// all of it is told again.
+/// A router's report to the placement owner. Its content is repeated, so that a
+/// lost or late report only causes a delay.
 struct router_word
 {
     std::string router;
-    std::uint64_t run = 0;      ///< which run of the router
-    std::uint64_t sequence = 0; ///< rises within a run
+    std::uint64_t run = 0;      ///< identifies the run of the router process
+    std::uint64_t sequence = 0; ///< increases within a run
     std::vector<servable_need> needs;
     std::vector<servable_use> uses;
-    /// Ids of engines that it couldn't connect to just now.
+    /// Ids of engines to which a connection has just failed.
     std::vector<std::string> unreached;
 
     template <class Archive>
@@ -89,11 +90,11 @@
     }
 };
 
-/// When a model that no engine has can be there.
+/// Time until a model that no engine has is expected to be loaded.
 struct servable_outlook
 {
-    std::string model;            ///< its key
-    std::int64_t ready_in_us = 0; ///< left when the word is sent
+    std::string model;            ///< key of the model
+    std::int64_t ready_in_us = 0; ///< from the sending of the message
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -102,15 +103,16 @@
     }
 };
 
-/// The placement owner's word to the routers.
+/// The placement owner's announcement to the routers.
 struct owner_word
 {
     std::string owner;
     std::uint64_t tenure = 0;
-    std::uint32_t routers = 0; ///< that sent word lately, the owner included
-    bool leaves = false;       ///< it owns placement no longer
-    /// Its term has ended without a renewal: it orders nothing, and another
-    /// router may own placement. What it says of engines still holds.
+    std::uint32_t routers = 0; ///< that reported recently, the owner included
+    bool leaves = false;       ///< the sender no longer owns placement
+    /// The owner's term has ended without a renewal. It sends no orders, and
+    /// another router may own placement. What it announces about engines is
+    /// still valid.
     bool lapsed = false;
     std::vector<engine_residency> engines;
     std::vector<servable_outlook> outlooks;
@@ -129,12 +131,12 @@
     }
 };
 
-/// A connection broke under a request on one run of a server.
+/// Reports that a server's connection broke while a request ran on it.
 struct break_word
 {
     std::string router;
     std::uint64_t request = 0; ///< fingerprint of the request's content
-    std::string server;        ///< id of its entry
+    std::string server;        ///< id of the server's entry
 
     template <class Archive>
     void serialize(Archive& archive)
--- a/src/core/swapping/swap_planner.cpp
+++ b/src/core/swapping/swap_planner.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Time that an unload and its answer add before a load can be ordered.
+/// Delay of a load by each unload that has to be ordered and answered first.
 constexpr duration unload_step = std::chrono::milliseconds(25);
 
 double seconds(duration length)
@@ -23,13 +23,15 @@
     return std::chrono::duration<double>(length).count();
 }
 
-/// @return Whether another copy of a model helps there.
+/// @return Whether a copy on the engine adds capacity. On an engine with a rate
+///         limit it does so only when the model isn't loaded elsewhere.
 bool relieves(const engine_state& engine, bool is_elsewhere)
 {
     return !is_elsewhere || engine.rate_limit == 0;
 }
 
-/// @return Until an engine takes a request that comes at its limit.
+/// @return Interval between requests at the engine's rate limit; zero when it
+///         has none.
 duration limited_pause(const engine_state& engine)
 {
     if (engine.rate_limit == 0)
@@ -197,7 +199,8 @@
         const servable_parts parts = split_servable_key(key);
         const std::size_t needed =
             this->copies_needed(current, parts.service, sum);
-        // Doubled at most: what runs says how many are needed, and lags.
+        // At most doubles the copies, because the counts of running requests
+        // lag.
         const std::size_t more = std::min(
             needed - std::min(needed, sum.copies + sum.loading),
             sum.copies - std::min(sum.copies, sum.loading));
@@ -217,7 +220,9 @@
         }
     }
     std::ranges::sort(
-        wants, std::ranges::less(), &want::servable); // hashing has no order
+        wants,
+        std::ranges::less(),
+        &want::servable); // the order of a hash map isn't deterministic
 }
 
 void swap_planner::place_model(round& current, const want& what)
@@ -236,7 +241,8 @@
     bool placed = this->load_on_best(current, what, sources::own_copies);
     if (!placed && what.only_limited && this->is_outpaced(current, what))
     {
-        // All are limited: another one gives the model its pace, too.
+        // No engine without a rate limit can load it now. A copy on a limited
+        // engine adds that engine's rate.
         want anywhere = what;
         anywhere.only_limited = false;
         placed = this->load_on_best(current, anywhere, sources::own_copies);
@@ -264,7 +270,8 @@
     const std::string key = servable_key(what.service, what.model);
     const std::string& id = best->engine->entry.id;
     current.taken.insert(id);
-    // A model and its adapters may be waited for at once.
+    // Requests may wait for a model and its adapters at once: one load serves
+    // both.
     ++current.sums[key].loading;
     if (!best->victims.empty())
     {
@@ -436,7 +443,7 @@
 
 std::size_t swap_planner::most_store_loads(std::size_t engines) const
 {
-    // The other half is for what their disks have.
+    // The other half of the engines stays free for loads from disk.
     return std::min(
         this->ceiling.most_at_once(), std::max<std::size_t>(engines / 2, 1));
 }
@@ -600,7 +607,7 @@
         if (std::ranges::find(
                 model->adapters, what.adapter, &held_adapter::name) !=
             model->adapters.end())
-            return; // those who wait are told of it
+            return; // the waiting routers are told that it is loaded
         const bool on_its_way = engine.order &&
                                 engine.order->adapter == what.adapter &&
                                 engine.order->model == what.model;
@@ -686,8 +693,8 @@
             continue;
         ++engines;
         const bool loading = engine.order && engine.order->is_store_load();
-        // What an engine that wasn't examined yet does may be such a load, by
-        // the owner before.
+        // An engine whose state is unconfirmed may be doing a load from the
+        // store that the previous owner ordered.
         running += loading || !engine.examined ? 1 : 0;
     }
     running += static_cast<std::size_t>(std::ranges::count_if(
--- a/src/core/swapping/swap_planner.hpp
+++ b/src/core/swapping/swap_planner.hpp
@@ -21,10 +21,10 @@
 namespace roseworks
 {
 
-/// An order that is worth sending now.
+/// An order that should be sent now.
 struct swap_order
 {
-    std::string engine; ///< id of its entry
+    std::string engine; ///< id of the engine's entry
     engine_action action = engine_action::load;
     std::string model;
     std::string adapter; ///< empty: the base model
@@ -34,61 +34,66 @@
 
 /** Decides which engine loads or unloads which model next.
 
-    Load pattern: requests for many models, each rarely, come faster than
-    engines can be given to them one by one, and a burst more than doubles them.
-    Nothing is bound before an order can go out: whenever engines are free, the
-    model whose earliest objective is nearest takes the engine that can have it
-    soonest, and one load serves all who wait for it.
+    Designed for requests that are spread over many rarely used models and
+    arrive faster than one engine could be assigned to each, with bursts that
+    more than double the rate. Models are assigned to engines only when an order
+    can be sent. The model with the earliest objective then gets the engine that
+    can load it soonest, and the load serves all requests that wait for it.
 
-    An engine that named a rate limit gives its models that pace only: they are
-    loaded elsewhere, too, when somebody waits for them.
+    An engine with a rate limit serves its models at that rate only, so they are
+    also loaded on other engines when requests wait for them.
 
-    Room is made when it is needed: an idle model is unloaded within some
-    milliseconds, while each that stays may be asked for again.
+    A model is unloaded only when its memory is needed: unloading an idle one
+    takes some milliseconds, and a model that stays may be requested again.
 
-    Hint; at most one order an engine at a time, never more than its memory and
-    adapter places hold.
+    The planner sends at most one order to an engine at a time and never exceeds
+    its memory and adapter slots. Its inputs may be outdated.
 */
 class swap_planner
 {
 public:
     struct options
     {
-        /// A model that nobody uses for so long may be unloaded. Shorter than
-        /// it, requests that were told of it may be on their way. Routers tell
-        /// within 20 ms that they don't use it any more.
+        /// A model that has been idle for this long may be unloaded. Before
+        /// that, requests of routers that know the model to be loaded may still
+        /// be on their way. Routers report the end of a use within 20 ms.
         duration idle = std::chrono::milliseconds(150);
-        /// Requests that run on one copy before another is loaded. An engine
-        /// reads 38 prompt tokens in a millisecond; at some 650 tokens and
-        /// 0.45 s a request, so many use a third of that.
+        /// Running requests per loaded copy above which another copy is loaded.
+        /// An engine processes 38 prompt tokens per millisecond. With about 650
+        /// prompt tokens and 0.45 s per request, 8 requests use a third of
+        /// that.
         std::uint32_t running_per_copy = 8;
-        /// The same as a share of an engine's slots: beyond it requests of
-        /// many routers, which don't see each other's, meet in its queue.
+        /// The same limit as a share of the engine's slots. Above it, requests
+        /// of different routers, which don't know of each other's, would queue
+        /// at the engine.
         double slots_per_copy = 0.35;
-        /// Another copy is wanted as urgently as a request with so much time.
+        /// An additional copy is as urgent as a request whose objective is this
+        /// far away.
         duration copy_urgency = std::chrono::milliseconds(600);
-        /// With so many times the usual requests on each copy, an engine that
-        /// has the weights is kept for another one: where many engines were
-        /// lost, rarer models took each place on the few that had them.
+        /// When a model needs this many times its present copies, an engine
+        /// that has its weights is reserved for another copy. Otherwise, after
+        /// a loss of many engines, rarer models would take all freed memory on
+        /// the few engines that have the weights.
         std::uint32_t overload = 2;
-        /// A model that can still be loaded in time, but not much later, keeps
-        /// an engine that has its copy from what is less urgent: else smaller
-        /// or more popular models take each place as it comes free.
+        /// A model whose load has to begin within this time to meet its
+        /// objective reserves an engine that has its weights. Otherwise smaller
+        /// or more popular models would take all memory as it is freed.
         duration reserve_slack = std::chrono::milliseconds(900);
-        /// For it a model may be unloaded although so many requests run: they
-        /// are finished first.
+        /// Such an urgent model may replace a model on which up to this many
+        /// requests run: the engine finishes them first.
         std::uint32_t most_running_unloaded = 2;
-        /// A load from the store keeps its engine from any other for six
-        /// seconds and more: at most one engine in so many does one.
+        /// A load from the store occupies its engine for 6 s or more, so only
+        /// one in this many engines does one at a time.
         std::size_t engines_per_store_load = 6;
-        /// Engines whose disks have a model that is asked for: should one go,
-        /// the model is back after a load from disk, a second, in place of one
-        /// from the store, six and more.
+        /// Number of engines whose disks should have a requested model. When
+        /// one engine is lost, another can load the model from disk in a
+        /// second, instead of from the store in 6 s or more.
         std::size_t spare_copies = 2;
-        /// Requests that are expected to wait for a load from the store unless
-        /// it is done beforehand: with fewer it isn't worth an engine's time.
+        /// A model is loaded from the store only when at least this many
+        /// requests wait for it or would have to wait otherwise; for fewer it
+        /// isn't worth the engine's time.
         double requests_per_spare = 0.2;
-        /// Copies are counted over all engines so often.
+        /// Interval at which the copies on all engines are counted.
         duration spare_pause = std::chrono::milliseconds(100);
         departure_meter::options departures;
         load_ceiling::options store;
@@ -96,97 +101,99 @@
 
     explicit swap_planner(options settings);
 
-    /// An engine's load from the store has ended: its order is about to be
-    /// taken from the book.
+    /// Records that an engine's load from the store has ended. To be called
+    /// while the engine's state still contains the order.
     void store_load_ended(
         const engine_book& engines, const engine_state& engine, instant now);
 
-    /// @return Orders to send now; the caller enters them in the book.
+    /// @return Orders to send now. The caller records them as sent.
     std::vector<swap_order>
     plan(const engine_book& engines, const need_book& needs, instant now);
 
-    /// @return What is asked for and on no engine, as of the last round: when
-    /// it
-    ///         can be there if loads from the store go on as planned.
+    /// @return Requested models that no engine has, with the times at which
+    ///         they are expected to be loaded if the loads from the store go as
+    ///         planned. Updated when the copies are counted.
     std::span<const load_outlook> outlooks() const
     {
         return this->expected;
     }
 
 private:
-    /// A base model or adapter that somebody waits for.
+    /// A base model or adapter that should be loaded.
     struct want
     {
-        std::string servable; ///< its key
+        std::string servable; ///< key of the model or adapter
         std::string service;
         std::string model;
         std::string adapter;
         std::uint32_t waiting = 0;
         instant objective;
         instant deadline;
-        bool extra_copy = false; ///< it is there, but too few copies are
-        bool overloaded = false; ///< far too few
-        /// It is on engines only that take less than they are asked for.
+        bool extra_copy = false; ///< loaded, but on too few engines
+        bool overloaded = false; ///< extra copy that is needed urgently
+        /// It is loaded only on engines with a rate limit.
         bool only_limited = false;
-        /// Requests that a load from the store spares a wait if it begins now
-        /// rather than when the next one has ended.
+        /// Expected number of requests that don't have to wait if a load from
+        /// the store starts now instead of after the next one.
         double spared = 0;
-        bool uncopied = false; ///< no engine has it, or is loading it
+        bool uncopied = false; ///< no engine has the weights or loads them
     };
 
-    /// An engine that could have the model, and how soon.
+    /// An engine that could load the model.
     struct candidate
     {
         const engine_state* engine = nullptr;
         weight_source source = weight_source::disk;
-        std::vector<std::string> victims; ///< to unload first
-        duration ready_in{};
-        std::uint32_t running = 0;
+        std::vector<std::string> victims; ///< models to unload first
+        duration ready_in{};              ///< until the model is loaded
+        std::uint32_t running = 0;        ///< requests on the engine
     };
 
-    /// What is known of a model on one engine.
+    /// Use of a model on one engine, its adapters included.
     struct held_info
     {
         std::uint32_t running = 0;
         instant last_used;
     };
 
-    /// What is known of an engine's models, in the order in which it has them.
+    /// Use of an engine's models.
     struct engine_info
     {
-        std::vector<held_info> held;
+        std::vector<held_info> held; ///< in the order of the engine's models
         std::uint32_t running = 0;
     };
 
-    /// A model over all engines of its service.
+    /// Totals of a model over all engines of its service.
     struct model_sum
     {
-        std::size_t copies = 0;  ///< resident, where no rate limit is named
-        std::size_t limited = 0; ///< resident, where one is
-        std::size_t loading = 0; ///< on their way
+        std::size_t copies = 0;  ///< loaded on engines without a rate limit
+        std::size_t limited = 0; ///< loaded on engines with a rate limit
+        std::size_t loading = 0; ///< being loaded
         std::uint32_t running = 0;
     };
 
-    /// Which engines may load a model.
+    /// Engines that may load a model.
     enum class sources : std::uint8_t
     {
-        own_copies, ///< those that have a copy
-        store,      ///< those that have none
-        bare_disks  ///< of these, those with next to nothing on their disks
+        own_copies, ///< those that have the weights
+        store,      ///< those that need the weights from the store
+        bare_disks  ///< as `store`, but only those with almost empty disks
     };
 
-    /// One round of planning.
+    /// State of one planning round.
     struct round
     {
         const engine_book& engines;
         const need_book& needs;
         instant now;
         std::unordered_map<const engine_state*, engine_info> infos;
-        std::unordered_map<std::string, model_sum> sums; ///< by model's key
-        std::set<std::string, std::less<>> taken;  ///< engines with an order
-        std::set<std::string, std::less<>> wanted; ///< keys of models
+        std::unordered_map<std::string, model_sum> sums; ///< by model key
+        /// Ids of engines that get an order in this round or are reserved.
+        std::set<std::string, std::less<>> taken;
+        std::set<std::string, std::less<>> wanted; ///< keys of awaited models
         std::vector<swap_order> orders;
-        /// Requests that wait for a model which is on no disk, by its key.
+        /// Requests that wait for a model whose weights no engine has, by model
+        /// key.
         std::unordered_map<std::string, std::uint32_t> uncopied;
     };
 
@@ -201,10 +208,11 @@
         std::string_view service,
         const model_sum& sum) const;
     void place_model(round& current, const want& what);
-    /// @return Whether more requests wait for it than the limited engines that
-    ///         have it take in a second.
+    /// @return Whether more requests wait for the model than the rate limits of
+    ///         the engines that have it allow in a second.
     bool is_outpaced(const round& current, const want& what) const;
-    /// @return Whether there is an engine for it now.
+    /// Orders a load on the best engine, or an unload that makes room for it.
+    /// @return Whether there is such an engine.
     bool load_on_best(round& current, const want& what, sources from);
     void place_adapter(round& current, const want& what) const;
     std::optional<candidate>
@@ -215,8 +223,9 @@
         const model_profile& model,
         sources from,
         bool urgent) const;
-    /// @return Copies on an engine's disk below which it counts as bare: it can
-    ///         do little else than to load from the store.
+    /// @return Number of models on an engine's disk below which the disk counts
+    ///         as almost empty: the engine can do little but load from the
+    ///         store.
     double bare_limit(const round& current, std::string_view service) const;
     bool make_room(
         const round& current,
@@ -231,16 +240,18 @@
         const held_info& info,
         bool urgent) const;
     bool is_urgent(const round& current, const want& what) const;
-    /** Orders loads from the store, the one worth most first.
+    /** Orders loads from the store, those that spare most requests a wait
+       first.
 
-        Load pattern: the engines of a release come back with bare disks, and
-        the store gives a model in six seconds. Models that nobody has a copy of
-        and those whose last copies are about to go are asked for by many.
+        Engines that a release has replaced start with empty disks, and a load
+        from the store takes 6 s. Many requests may need models whose weights
+        are on no engine, or only on engines that will be replaced soon.
     */
     void load_from_store(round& current);
     std::vector<want>
     store_wants(const round& current, const std::string& service) const;
-    /// @return How many engines have a model, or are loading it.
+    /// @return Number of engines that have a model's weights or load them from
+    ///         the store, by model name.
     std::unordered_map<std::string_view, std::size_t>
     count_copies(const round& current, std::string_view service) const;
     void watch_departures(const round& current);
@@ -248,20 +259,21 @@
         const round& current,
         const std::string& service,
         std::span<const want> wants);
-    /// @return When each of the loads that the store does at once ends, the
-    ///         earliest first.
+    /// @return When each of the concurrent loads from the store ends, earliest
+    ///         first. An unused one ends now.
     std::vector<instant>
     store_slots(const round& current, const std::string& service) const;
-    /// @return Loads from the store that may run at once.
+    /// @return Number of loads from the store that may run concurrently.
     std::size_t most_store_loads(std::size_t engines) const;
     void reserve(round& current, const want& what) const;
-    /// Makes the order one that frees an adapter's place.
-    /// @return Whether there is one to be freed.
+    /// Changes the order into an unload of the least recently used idle
+    /// adapter.
+    /// @return Whether there is an idle adapter.
     bool unload_adapter(
         const round& current,
         const engine_state& engine,
         swap_order& order) const;
-    /// @return Which engines may load from the store now; empty: none.
+    /// @return Engines that may load from the store now; empty: none.
     std::optional<sources> store_allows(const round& current, const want& what);
     bool copied_anywhere(const round& current, const want& what) const;
     const model_sum& sum_of(const round& current, std::string_view key) const;
--- a/tests/unit/swapping/swap_fixture.hpp
+++ b/tests/unit/swapping/swap_fixture.hpp
@@ -17,7 +17,8 @@
     return instant(100s + since_start);
 }
 
-/// A service `llm` of engines with room for three models of 65 GB.
+/// Planner, engines and demand of a service `llm`, whose engines have room for
+/// three models of 65 GB.
 class swap_fixture
 {
 public:
@@ -49,7 +50,7 @@
         this->engines.configured(config);
     }
 
-    /// Gives one model another size.
+    /// Changes the size of one model.
     void resize(std::size_t model, double memory_mb)
     {
         auto config = std::make_shared<deployment>(*this->configuration);
@@ -58,7 +59,7 @@
         this->engines.configured(config);
     }
 
-    /// An engine that was examined: what it holds, and what is on its disk.
+    /// Adds an engine whose report has been read.
     void engine(
         const std::string& id,
         const std::vector<std::string>& held,
@@ -88,7 +89,7 @@
         this->engines.reported(id, report, now);
     }
 
-    /// Requests wait at a router.
+    /// Reports requests that wait at a router.
     void need(
         const std::string& servable,
         duration objective_in,
@@ -107,6 +108,7 @@
         this->needs.heard(word, now);
     }
 
+    /// Reports requests that router `r1` runs on an engine.
     void
     use(const std::string& servable,
         const std::string& engine,
@@ -125,7 +127,7 @@
         return this->planner.plan(this->engines, this->needs, now);
     }
 
-    /// Sends the order and has it accepted.
+    /// Records the order as sent and accepted.
     void accept(const swap_order& order, instant now)
     {
         pending_order sent;
--- a/tests/unit/swapping/test_demand_meter.cpp
+++ b/tests/unit/swapping/test_demand_meter.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-Test(demand_meter, requests_for_adapters_count_for_their_model)
+Test(demand_meter, requests_for_an_adapter_count_for_its_model)
 {
     demand_meter meter = make_meter();
     meter.add("llm/m1", 2, start);
@@ -27,7 +27,7 @@
     cr_assert_float_eq(meter.of("llm/m1", start), 5, 1e-9);
 }
 
-Test(demand_meter, a_request_counts_half_after_a_half_life)
+Test(demand_meter, a_count_is_halved_after_a_half_life)
 {
     demand_meter meter = make_meter();
     meter.add("llm/m1", 4, start);
@@ -38,7 +38,7 @@
     cr_assert_eq(meter.of("llm/m1", start), 0);
 }
 
-Test(demand_meter, a_steady_rate_is_told_as_such)
+Test(demand_meter, a_steady_rate_is_estimated)
 {
     demand_meter meter = make_meter();
     for (instant now = start; now < start + 300s; now += 500ms)
@@ -46,7 +46,7 @@
     cr_assert_float_eq(meter.rate("llm/m1", start + 300s), 2, 0.05);
 }
 
-Test(departure_meter, tells_the_share_of_engines_that_went_lately)
+Test(departure_meter, estimates_the_share_of_engines_that_were_lost_recently)
 {
     departure_meter meter{departure_meter::options()};
     meter.seen({"e1", "e2", "e3", "e4"}, start);
--- a/tests/unit/swapping/test_engine_book.cpp
+++ b/tests/unit/swapping/test_engine_book.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-Test(engine_book, a_load_counts_as_done_after_its_usual_time)
+Test(engine_book, a_load_is_done_after_its_expected_time)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -40,7 +40,7 @@
     cr_assert(test.engines.find("e1")->free(at(1s + 800ms)));
 }
 
-Test(engine_book, a_model_counts_as_gone_once_its_unload_is_sent)
+Test(engine_book, a_model_is_removed_when_its_unload_is_sent)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
@@ -50,7 +50,7 @@
     cr_assert_gt(test.engines.find("e1")->revision, before);
 }
 
-Test(engine_book, an_unload_that_was_not_taken_leaves_the_model)
+Test(engine_book, a_rejected_unload_restores_the_model)
 {
     for (const command_end how :
          {command_end::out_of_step, command_end::withheld})
@@ -66,9 +66,9 @@
     }
 }
 
-/// An engine that is gone without a word stays in the registry for seconds.
-/// Ordered again and again, it kept its models from being loaded elsewhere.
-Test(engine_book, an_engine_that_can_not_be_reached_is_not_ordered_on)
+/// A crashed engine remains in the registry for some seconds. If it stayed
+/// available for orders, its models would not be loaded elsewhere.
+Test(engine_book, an_unreachable_engine_gets_no_orders_until_its_report_is_read)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
@@ -83,7 +83,7 @@
     cr_assert(engine->free(at(11s)));
 }
 
-Test(engine_book, what_was_on_its_way_to_an_unreachable_engine_is_not_there)
+Test(engine_book, a_pending_load_on_an_unreachable_engine_is_dropped)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -94,7 +94,7 @@
     cr_assert_null(test.engines.find("e1")->find("m1"));
 }
 
-Test(engine_book, three_orders_out_of_step_have_the_engine_examined)
+Test(engine_book, three_consecutive_orders_out_of_step_require_a_report)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -108,7 +108,7 @@
     cr_assert_not(test.engines.find("e1")->free(at(10s)));
 }
 
-Test(engine_book, an_order_of_unknown_outcome_has_the_engine_examined)
+Test(engine_book, an_order_that_failed_or_is_unknown_requires_a_report)
 {
     for (const command_end how :
          {command_end::unknown,
@@ -126,7 +126,7 @@
     }
 }
 
-Test(engine_book, a_busy_engine_stays_unexamined)
+Test(engine_book, the_report_of_a_busy_engine_is_ignored)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -137,8 +137,9 @@
     cr_assert_not(test.engines.find("e1")->free(at(2s)));
 }
 
-/// Two owners ordered one engine in turn within the lease.
-Test(engine_book, an_engine_that_another_ordered_meanwhile_waits_for_the_lease)
+/// Guards against two owners that send orders to one engine alternately within
+/// the lease.
+Test(engine_book, an_engine_with_another_owners_orders_waits_for_the_lease)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -151,7 +152,7 @@
     cr_assert(test.engines.find("e1")->free(at(4s)));
 }
 
-Test(engine_book, an_engine_that_nobody_ordered_meanwhile_does_not_wait)
+Test(engine_book, an_engine_without_another_owners_orders_does_not_wait)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -159,12 +160,14 @@
     test.engines.answered("e1", command_end::accepted, at(1s));
     test.engines.advance(at(2s));
     test.engines.take_over(3s, false);
-    cr_assert_not(test.engines.find("e1")->free(at(2s)), "not examined yet");
+    cr_assert_not(
+        test.engines.find("e1")->free(at(2s)),
+        "its report has not been read yet");
     test.examine("e1", {"m1"}, {"m1"}, 1, at(2s + 500ms));
     cr_assert(test.engines.find("e1")->free(at(2s + 500ms)));
 }
 
-Test(engine_book, a_new_run_of_an_engine_is_examined)
+Test(engine_book, a_restarted_engine_requires_a_report)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
@@ -176,7 +179,7 @@
     cr_assert_not(test.engines.find("e1")->free(at(2s)));
 }
 
-Test(engine_book, host_memory_keeps_the_copies_used_last)
+Test(engine_book, host_memory_keeps_the_most_recently_used_models)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m0", "m1", "m2"}, at(0s));
@@ -194,9 +197,9 @@
     cr_assert(engine->source_of("m2") == weight_source::memory);
 }
 
-/// An engine was ordered to load a ninth adapter beside eight, one of which
-/// was still used while it was being unloaded.
-Test(engine_book, an_adapter_that_is_still_used_keeps_its_place)
+/// An engine with eight adapter slots was ordered to load a ninth adapter while
+/// requests still used the one that was being unloaded.
+Test(engine_book, an_adapter_in_use_keeps_its_slot_while_it_is_unloaded)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
@@ -211,10 +214,11 @@
     test.engines.sent("e1", unload, at(3s));
     cr_assert(test.engines.answered("e1", command_end::accepted, at(3s)));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 1);
-    cr_assert_not(test.engines.find("e1")->free(at(9s)), "to be examined");
+    cr_assert_not(
+        test.engines.find("e1")->free(at(9s)), "its report has to be read");
 }
 
-Test(engine_book, an_idle_adapter_is_gone_at_once)
+Test(engine_book, an_idle_adapter_is_unloaded_at_once)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
--- a/tests/unit/swapping/test_limited_engines.cpp
+++ b/tests/unit/swapping/test_limited_engines.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// The model `m1` is on the limited engine `e1` only; `e2` has its copy.
+/// Model `m1` is loaded only on engine `e1`, which has a rate limit. Engine
+/// `e2` has the model's weights on its disk.
 struct limited_copy : swap_fixture
 {
     limited_copy()
@@ -22,7 +23,7 @@
 
 } // namespace
 
-Test(limited_engines, what_waits_for_a_limited_engine_is_loaded_elsewhere)
+Test(limited_engines, a_model_awaited_on_a_limited_engine_is_loaded_elsewhere)
 {
     limited_copy test;
     test.need("m1", 2500ms, at(1s));
@@ -31,16 +32,16 @@
     cr_assert_eq(orders[0].engine, "e2");
     cr_assert_eq(orders[0].model, "m1");
     test.accept(orders[0], at(1s));
-    cr_assert(test.plan(at(1s + 100ms)).empty(), "it is on its way");
+    cr_assert(test.plan(at(1s + 100ms)).empty(), "the model is being loaded");
 }
 
-Test(limited_engines, what_nobody_waits_for_is_not_loaded_again)
+Test(limited_engines, a_model_that_is_not_awaited_gets_no_second_copy)
 {
     limited_copy test;
     cr_assert(test.plan(at(1s)).empty());
 }
 
-Test(limited_engines, once_the_limit_ends_its_copy_counts_again)
+Test(limited_engines, a_copy_counts_again_after_the_limit_has_ended)
 {
     limited_copy test;
     test.engines.limits_named({});
@@ -48,7 +49,7 @@
     cr_assert(test.plan(at(1s)).empty());
 }
 
-Test(limited_engines, no_second_copy_goes_to_another_limited_engine)
+Test(limited_engines, one_waiting_request_adds_no_copy_on_a_limited_engine)
 {
     limited_copy test;
     test.engines.limits_named({{"e1", 2.0}, {"e2", 2.0}});
@@ -56,9 +57,9 @@
     cr_assert(test.plan(at(1s)).empty());
 }
 
-/// All engines are limited, and rare models waited while most of them were
-/// idle.
-Test(limited_engines, more_copies_give_a_model_more_pace_where_all_are_limited)
+/// When all engines have a rate limit, requests for rare models must not wait
+/// while most engines are idle.
+Test(limited_engines, waiting_requests_add_a_copy_where_all_engines_are_limited)
 {
     limited_copy test;
     test.engines.limits_named({{"e1", 2.0}, {"e2", 2.0}});
@@ -67,10 +68,10 @@
     cr_assert_eq(orders.size(), 1U);
     cr_assert_eq(orders[0].engine, "e2");
     test.accept(orders[0], at(1s));
-    cr_assert(test.plan(at(1s + 100ms)).empty(), "one at a time");
+    cr_assert(test.plan(at(1s + 100ms)).empty(), "one load at a time");
 }
 
-Test(limited_engines, a_cold_model_goes_to_an_engine_without_a_limit)
+Test(limited_engines, a_model_is_loaded_on_an_engine_without_a_limit)
 {
     swap_fixture test(6);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -82,7 +83,7 @@
     cr_assert_eq(orders[0].engine, "e2");
 }
 
-Test(limited_engines, a_cold_model_that_only_a_limited_engine_has_is_loaded)
+Test(limited_engines, a_limited_engine_loads_a_model_that_no_other_engine_has)
 {
     swap_fixture test(6);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -91,7 +92,7 @@
     cr_assert_eq(test.plan(at(1s)).size(), 1U);
 }
 
-Test(limited_engines, an_adapter_goes_beside_its_model_where_no_limit_is)
+Test(limited_engines, an_adapter_is_loaded_on_an_engine_without_a_limit)
 {
     limited_copy test;
     test.examine("e2", {"m1"}, {"m1", "m3"}, 0, at(500ms));
@@ -102,8 +103,9 @@
     cr_assert_eq(orders[0].adapter, "a1");
 }
 
-/// The engine that is listed anew is a new run of it, which named nothing.
-Test(limited_engines, limits_are_those_that_are_named_now)
+/// An engine that is missing from the new limits may have restarted, and has
+/// named no limit since.
+Test(limited_engines, new_limits_replace_all_previous_ones)
 {
     limited_copy test;
     cr_assert_eq(test.engines.find("e1")->rate_limit, 2.0);
--- a/tests/unit/swapping/test_load_ceiling.cpp
+++ b/tests/unit/swapping/test_load_ceiling.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr double plenty = 100; // loads a second that the store allows
+constexpr double plenty = 100; // loads per second; never the limit here
 constexpr instant start(100s);
 
-/// @return How many loads may run at once.
+/// @return Number of loads that may run concurrently.
 std::size_t most_at_once(load_ceiling& ceiling)
 {
     std::size_t running = 0;
@@ -22,8 +22,9 @@
 
 } // namespace
 
-/// A store that does one load at full speed: four at once each took 24 s.
-Test(load_ceiling, loads_that_slow_each_other_down_become_fewer)
+/// The store serves one load at full speed, in 6 s; four concurrent loads take
+/// 24 s each.
+Test(load_ceiling, slowed_loads_reduce_the_concurrency)
 {
     load_ceiling ceiling{load_ceiling::options()};
     cr_assert_eq(most_at_once(ceiling), 4);
@@ -31,18 +32,18 @@
     cr_assert_eq(most_at_once(ceiling), 1);
 }
 
-Test(load_ceiling, loads_at_full_speed_become_more)
+Test(load_ceiling, loads_at_full_speed_raise_the_concurrency)
 {
     load_ceiling ceiling{load_ceiling::options()};
     ceiling.ended(6200ms, 6s, 4);
     cr_assert_eq(most_at_once(ceiling), 5);
-    ceiling.ended(6200ms, 6s, 3); // says nothing of five
+    ceiling.ended(6200ms, 6s, 3); // too few concurrent loads to raise the limit
     cr_assert_eq(most_at_once(ceiling), 5);
     ceiling.ended(7500ms, 6s, 5);
     cr_assert_eq(most_at_once(ceiling), 4);
 }
 
-Test(load_ceiling, no_more_begin_in_a_window_than_the_store_allows)
+Test(load_ceiling, loads_in_a_window_stay_within_the_rate_of_the_store)
 {
     load_ceiling ceiling{load_ceiling::options()};
     std::size_t begun = 0;
--- a/tests/unit/swapping/test_need_book.cpp
+++ b/tests/unit/swapping/test_need_book.cpp
@@ -5,7 +5,7 @@
 using namespace roseworks;
 using namespace roseworks::testing;
 
-Test(need_book, sums_what_all_routers_wait_for)
+Test(need_book, sums_the_waiting_requests_of_all_routers)
 {
     swap_fixture test(3);
     test.need("m1", 2s, at(0s), "r1", 2);
@@ -19,7 +19,7 @@
     cr_assert_eq(wanted[0].routers.size(), 2);
 }
 
-Test(need_book, a_need_that_is_not_repeated_lapses)
+Test(need_book, waiting_requests_that_are_not_repeated_expire)
 {
     swap_fixture test(3);
     test.need("m1", 2s, at(0s));
@@ -27,7 +27,7 @@
     cr_assert(test.needs.wanted(at(801ms)).empty());
 }
 
-Test(need_book, an_older_word_changes_nothing)
+Test(need_book, an_outdated_report_is_ignored)
 {
     swap_fixture test(3);
     test.need("m1", 2s, at(0s));
@@ -39,7 +39,7 @@
     cr_assert_eq(test.needs.wanted(at(0s))[0].waiting, 1);
 }
 
-Test(need_book, a_router_that_started_anew_is_heard_again)
+Test(need_book, the_report_of_a_restarted_router_is_accepted)
 {
     swap_fixture test(3);
     test.sequence = 1000;
@@ -53,10 +53,10 @@
     cr_assert_eq(test.needs.wanted(at(0s))[0].waiting, 4);
 }
 
-/// The VM's time of day was set back before it started anew: its number is
-/// lower, and all it said was dropped for as long as the owner lived.
-Test(
-    need_book, a_run_with_a_lower_number_is_heard_once_the_one_before_is_silent)
+/// A router takes the number of its run from the VM's wall clock. If the clock
+/// is set back before a restart, the new run has a lower number. The owner then
+/// dropped all of its reports for as long as the owner's process ran.
+Test(need_book, a_run_with_a_lower_number_is_accepted_after_the_other_is_silent)
 {
     swap_fixture test(3);
     router_word word;
@@ -66,14 +66,15 @@
     cr_assert(test.needs.heard(word, at(0s)));
     word.run = 4;
     word.needs = {{"llm/m1", 1, 2'000'000, 9'000'000}};
-    cr_assert_not(test.needs.heard(word, at(100ms))); // late, of a run before
+    cr_assert_not(
+        test.needs.heard(word, at(100ms))); // as if from the previous run
     cr_assert(test.needs.heard(word, at(3s)));
     cr_assert_eq(test.needs.wanted(at(3s)).size(), 1);
     ++word.sequence;
     cr_assert(test.needs.heard(word, at(3s + 100ms)));
 }
 
-Test(need_book, waiting_for_nothing_more_ends_a_need)
+Test(need_book, a_report_of_none_waiting_removes_the_entry)
 {
     swap_fixture test(3);
     test.need("m1", 2s, at(0s), "r1", 2);
@@ -81,7 +82,7 @@
     cr_assert(test.needs.wanted(at(0s)).empty());
 }
 
-Test(need_book, counts_what_runs_and_forgets_silent_routers)
+Test(need_book, running_requests_of_silent_routers_expire)
 {
     swap_fixture test(3);
     test.use("m1", "e1", 3, at(0s));
@@ -93,7 +94,7 @@
     cr_assert_eq(test.needs.find_use("e1", "llm/m1")->running, 0);
 }
 
-Test(need_book, knows_who_used_a_model_lately)
+Test(need_book, lists_the_routers_that_used_a_model_recently)
 {
     swap_fixture test(3);
     test.use("m1", "e1", 1, at(0s));
@@ -103,7 +104,7 @@
     cr_assert(test.needs.routers_using("e1", "llm/m1").empty());
 }
 
-Test(need_book, counts_routers_that_sent_word_lately)
+Test(need_book, counts_the_routers_that_reported_recently)
 {
     swap_fixture test(3);
     test.need("m1", 2s, at(0s), "r1");
--- a/tests/unit/swapping/test_rare_model_burst.cpp
+++ b/tests/unit/swapping/test_rare_model_burst.cpp
@@ -13,13 +13,16 @@
 namespace
 {
 
-/** The load that hurts most: requests for many rare models, doubled for some
-    seconds. Eighteen engines with room for three models each, ninety models of
-    which each is on four disks; a request runs for 0.5 s. Virtual time. */
+/** Simulates requests for many rare models, with a burst of some seconds.
+
+    This is the most demanding load: most requests need a load from disk. There
+    are 18 engines with room for three models each, and 90 models, each on the
+    disks of four engines. A request runs for 0.5 s. Time is simulated.
+*/
 class burst_replay
 {
 public:
-    /// @param rate of requests a second in the burst.
+    /// @param rate Requests per second in the burst.
     explicit burst_replay(std::uint64_t seed, double rate)
         : test(model_count)
         , random(seed)
@@ -38,7 +41,7 @@
             this->test.engine("e" + std::to_string(i), {}, disks[i], at(0s));
     }
 
-    /// @return The share of requests that began within their objective.
+    /// @return Share of requests that started within their objective.
     double play()
     {
         for (instant now = at(0s); now < at(20s); now += step)
@@ -169,7 +172,7 @@
     std::size_t in_time = 0;
 };
 
-/// @return The share in time, over some seeds.
+/// @return Share of requests in time, averaged over several seeds.
 double mean_share(double burst_rate)
 {
     double sum = 0;
@@ -182,15 +185,16 @@
 
 } // namespace
 
-Test(rare_model_burst, nearly_all_begin_within_their_objective)
+Test(rare_model_burst, nearly_all_requests_start_within_their_objective)
 {
     const double mean = mean_share(46);
     cr_assert_geq(mean, 0.97, "%.3f", mean);
 }
 
-/// At a rate that engines just manage the order of loads decides: 0.979 begin
-/// in time, and 0.893 with the farthest objectives first.
-Test(rare_model_burst, at_the_highest_rate_the_nearest_objectives_go_first)
+/// At the highest rate that the engines can handle, the order of the loads is
+/// decisive: 0.979 of the requests start in time, but only 0.893 if the latest
+/// objective is loaded first.
+Test(rare_model_burst, at_the_highest_rate_the_earliest_objective_goes_first)
 {
     const double mean = mean_share(120);
     cr_assert_geq(mean, 0.95, "%.3f", mean);
--- a/tests/unit/swapping/test_release.cpp
+++ b/tests/unit/swapping/test_release.cpp
@@ -11,13 +11,15 @@
 namespace
 {
 
-/** The engines of a service are replaced one after the other, each by one with
-   a bare disk. A model that is asked for all the time is only on the disk of
-   the one that goes last. Virtual time. */
+/** Simulates a release that replaces the engines of a service one by one.
+
+    Each new engine has an empty disk. A model that is requested all the time is
+    only on the disk of the engine that is replaced last. Time is simulated.
+*/
 class release_replay
 {
 public:
-    /// @param pause between two engines.
+    /// @param pause Time between two replacements.
     release_replay(std::size_t engines, duration pause)
         : test(model_count)
         , last("old-" + std::to_string(engines - 1))
@@ -34,7 +36,7 @@
         }
     }
 
-    /// @return How long no engine had the model.
+    /// @return Total time during which no engine had the model loaded.
     duration play()
     {
         duration missing{};
@@ -52,7 +54,7 @@
         return missing;
     }
 
-    /// Loads from the store that were begun.
+    /// Loads from the store whose end was read from a report.
     std::size_t store_loads = 0;
 
 private:
@@ -114,17 +116,18 @@
 
 } // namespace
 
-/// Without a second copy beforehand nobody had it for the six seconds of a load
-/// from the store, and all of its requests waited.
-Test(release, a_model_that_is_asked_for_is_copied_before_its_last_engine_goes)
+/// Without a second copy in time, the model is missing for the 6 s of a load
+/// from the store, and all of its requests wait.
+Test(release, a_requested_model_is_copied_before_its_last_engine_is_replaced)
 {
     release_replay replay(6, 3s);
     const duration missing = replay.play();
     cr_assert_eq(missing, duration::zero());
 }
 
-/// A load from the store has its price, and keeps an engine from others.
-Test(release, in_calm_times_a_rare_models_one_copy_is_enough)
+/// A load from the store uses the store's bandwidth and blocks its engine for
+/// other loads.
+Test(release, one_copy_of_a_rare_model_is_enough_while_no_engine_is_lost)
 {
     swap_fixture test(4);
     for (int i = 0; i < 6; ++i)
@@ -135,9 +138,9 @@
         cr_assert(test.plan(now).empty());
 }
 
-/// The store does two at once here, half of the engines: the third that is
-/// asked for comes after one of them.
-Test(release, what_waits_for_the_store_is_foreseen)
+/// With four engines, two loads from the store may run concurrently. The third
+/// model has to wait until one of them has ended.
+Test(release, expected_times_of_loads_from_the_store_are_reported)
 {
     swap_fixture test(4);
     for (int i = 0; i < 4; ++i)
@@ -157,8 +160,9 @@
     cr_assert(ready.at("llm/m2") == at(13s));
 }
 
-/// Refused at once, nobody waits for it; it is loaded all the same.
-Test(release, a_model_that_was_asked_for_is_loaded_though_nobody_waits)
+/// A request that is refused at once doesn't wait for the model. The model has
+/// to be loaded nevertheless.
+Test(release, a_model_is_loaded_for_requests_that_were_refused)
 {
     swap_fixture test(4);
     for (int i = 0; i < 4; ++i)
--- a/tests/unit/swapping/test_swap_planner.cpp
+++ b/tests/unit/swapping/test_swap_planner.cpp
@@ -5,14 +5,14 @@
 using namespace roseworks;
 using namespace roseworks::testing;
 
-Test(swap_planner, nothing_is_ordered_for_nobody)
+Test(swap_planner, nothing_is_ordered_without_waiting_requests)
 {
     swap_fixture test(4);
     test.engine("e1", {"m0"}, {"m1", "m2"}, at(0s));
     cr_assert(test.plan(at(1s)).empty());
 }
 
-Test(swap_planner, a_waiting_model_is_loaded_where_its_copy_is)
+Test(swap_planner, an_awaited_model_is_loaded_where_its_weights_are)
 {
     swap_fixture test(4);
     test.engine("e1", {"m0"}, {"m2"}, at(0s));
@@ -26,7 +26,7 @@
     cr_assert(orders[0].source == weight_source::disk);
 }
 
-Test(swap_planner, a_resident_model_is_not_loaded_again)
+Test(swap_planner, a_loaded_model_is_not_loaded_again)
 {
     swap_fixture test(4);
     test.engine("e1", {"m1"}, {}, at(0s));
@@ -35,7 +35,7 @@
     cr_assert(test.plan(at(1s)).empty());
 }
 
-Test(swap_planner, one_load_serves_all_routers_that_wait)
+Test(swap_planner, one_load_serves_the_requests_of_all_routers)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -46,10 +46,10 @@
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].waiting, 5);
     test.accept(orders[0], at(1s));
-    cr_assert(test.plan(at(1s + 100ms)).empty(), "it is on its way");
+    cr_assert(test.plan(at(1s + 100ms)).empty(), "the model is being loaded");
 }
 
-Test(swap_planner, what_an_unreachable_engine_holds_is_loaded_elsewhere)
+Test(swap_planner, a_model_of_an_unreachable_engine_is_loaded_elsewhere)
 {
     swap_fixture test(4);
     test.engine("e1", {"m1"}, {"m1"}, at(0s));
@@ -63,8 +63,7 @@
     cr_assert_eq(orders[0].model, "m1");
 }
 
-Test(
-    swap_planner, an_adapter_of_an_unreachable_engine_joins_its_model_elsewhere)
+Test(swap_planner, an_adapter_of_an_unreachable_engine_is_loaded_elsewhere)
 {
     swap_fixture test(4);
     test.engine("e1", {"m1"}, {"m1"}, at(0s));
@@ -80,7 +79,7 @@
     cr_assert_eq(second[0].adapter, "a1");
 }
 
-Test(swap_planner, a_model_and_its_adapter_asked_for_at_once_are_one_load)
+Test(swap_planner, a_model_and_its_adapter_awaited_at_once_need_one_load)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -90,7 +89,7 @@
     cr_assert_eq(test.plan(at(1s)).size(), 1);
 }
 
-Test(swap_planner, the_nearest_objective_takes_the_engine)
+Test(swap_planner, the_model_with_the_earliest_objective_gets_the_engine)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m1", "m2"}, at(0s));
@@ -101,9 +100,7 @@
     cr_assert_eq(orders[0].model, "m2");
 }
 
-Test(
-    swap_planner,
-    one_that_missed_its_objective_waits_for_those_that_can_meet_it)
+Test(swap_planner, a_missed_objective_comes_after_those_that_can_be_met)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m1", "m2"}, at(0s));
@@ -112,7 +109,7 @@
     cr_assert_eq(test.plan(at(1s))[0].model, "m2");
 }
 
-Test(swap_planner, a_copy_in_host_memory_is_nearer_than_one_on_disk)
+Test(swap_planner, a_copy_in_host_memory_is_preferred_to_one_on_disk)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -131,7 +128,7 @@
     cr_assert(orders[0].source == weight_source::memory);
 }
 
-Test(swap_planner, room_is_made_by_unloading_what_was_idle_longest)
+Test(swap_planner, the_model_that_was_idle_longest_is_unloaded)
 {
     swap_fixture test(5);
     test.engine("e1", {"m0", "m1", "m2"}, {"m3"}, at(0s));
@@ -144,7 +141,7 @@
     cr_assert_eq(orders[0].model, "m1");
 }
 
-Test(swap_planner, nothing_that_runs_or_is_waited_for_or_was_just_loaded_goes)
+Test(swap_planner, running_awaited_and_recently_used_models_are_not_unloaded)
 {
     swap_fixture test(5);
     test.engine("e1", {"m0", "m1", "m2"}, {"m3"}, at(0s));
@@ -155,9 +152,9 @@
     cr_assert(test.plan(at(5s)).empty());
 }
 
-/// A large model that can still be in time, but not much later, needs places
-/// that smaller ones would take one by one as they come free.
-Test(swap_planner, an_engine_is_kept_for_a_model_that_will_soon_be_late)
+/// A large model that will soon miss its objective needs memory that smaller
+/// models would otherwise take as it is freed.
+Test(swap_planner, an_engine_is_reserved_for_a_model_that_will_soon_be_late)
 {
     for (const bool urgent : {true, false})
     {
@@ -176,7 +173,7 @@
     }
 }
 
-Test(swap_planner, for_it_a_model_with_little_running_is_unloaded)
+Test(swap_planner, an_urgent_model_replaces_one_with_few_running_requests)
 {
     for (const bool urgent : {true, false})
     {
@@ -193,9 +190,9 @@
     }
 }
 
-/// Many engines were lost: on the few that have its weights, rarer models took
-/// each place that came free.
-Test(swap_planner, an_engine_is_kept_for_a_model_that_is_far_overloaded)
+/// After a loss of many engines, rarer models would otherwise take all freed
+/// memory on the few engines that have the weights of the overloaded model.
+Test(swap_planner, an_engine_is_reserved_for_an_overloaded_model)
 {
     for (const std::uint32_t running : {40U, 10U})
     {
@@ -212,7 +209,7 @@
     }
 }
 
-Test(swap_planner, copies_that_the_load_needs_stay)
+Test(swap_planner, copies_that_the_running_requests_need_are_not_unloaded)
 {
     swap_fixture test(5);
     test.engine("e1", {"m0", "m1", "m2"}, {"m3"}, at(0s));
@@ -226,7 +223,7 @@
             order.action == engine_action::load, "%s", order.model.c_str());
 }
 
-Test(swap_planner, a_model_with_too_much_running_gets_another_copy)
+Test(swap_planner, a_model_with_too_many_running_requests_gets_another_copy)
 {
     swap_fixture test(4);
     test.engine("e1", {"m0"}, {}, at(0s));
@@ -239,7 +236,7 @@
     cr_assert_eq(orders[0].engine, "e2");
 }
 
-Test(swap_planner, the_store_is_used_for_what_no_engine_has)
+Test(swap_planner, a_model_that_no_engine_has_is_loaded_from_the_store)
 {
     swap_fixture test(4);
     for (int i = 0; i < 6; ++i)
@@ -250,8 +247,8 @@
     cr_assert(orders[0].source == weight_source::store);
 }
 
-/// A new owner once began a store load on most engines; each then took no other
-/// order for up to 18 s.
+/// A new owner must not start loads from the store on most engines: each of
+/// them then takes no other order, which has lasted up to 18 s.
 Test(swap_planner, store_loads_leave_most_engines_free)
 {
     swap_fixture test(40);
@@ -273,9 +270,9 @@
     cr_assert_eq(store_loads, 3, "got %zu", store_loads);
 }
 
-/// Engines that have next to nothing on their disks can do little else; the
-/// store gives no more at once at full speed.
-Test(swap_planner, bare_engines_load_as_many_as_the_store_gives_at_full_speed)
+/// Engines with almost empty disks can do little but load from the store, so
+/// only the store's own concurrency limits them.
+Test(swap_planner, engines_with_empty_disks_use_the_full_store_concurrency)
 {
     swap_fixture test(40);
     for (int i = 0; i < 18; ++i)
@@ -295,9 +292,9 @@
     cr_assert_eq(store_loads, 4, "got %zu", store_loads);
 }
 
-/// Many wait for one model, and one request for each of others: after a release
-/// the one with sixteen was loaded after six others, 6 s each.
-Test(swap_planner, the_store_gives_first_what_most_wait_for)
+/// After a release, a model with 16 waiting requests was loaded after six other
+/// models with one request each, which took 6 s per load.
+Test(swap_planner, the_model_with_most_waiting_requests_is_loaded_first)
 {
     swap_fixture test(9);
     for (int i = 0; i < 3; ++i)
@@ -309,8 +306,10 @@
     cr_assert_eq(orders[0].model, "m2");
 }
 
-/// After a release: what only the replaced engines had was loaded one by one.
-Test(swap_planner, an_engine_with_a_bare_disk_loads_beside_the_share)
+/// After a release, the models that only the replaced engines had were loaded
+/// one by one. Engines with empty disks may load beside the share of engines
+/// that load from the store.
+Test(swap_planner, an_engine_with_an_empty_disk_may_exceed_the_store_load_share)
 {
     swap_fixture test(9);
     const std::vector<std::string> usual{
@@ -329,7 +328,7 @@
     cr_assert(orders[0].source == weight_source::store);
 }
 
-Test(swap_planner, copies_of_engines_that_are_not_examined_yet_count)
+Test(swap_planner, copies_on_engines_without_a_report_count)
 {
     swap_fixture test(4);
     for (int i = 0; i < 12; ++i)
@@ -341,10 +340,11 @@
     entry.holdings.on_disk = {"m1"};
     test.engines.listed(entry);
     test.need("m1", 2500ms, at(1s));
-    cr_assert(test.plan(at(1s)).empty(), "its copy is waited for");
+    cr_assert(
+        test.plan(at(1s)).empty(), "the copy is used once the report is read");
 }
 
-Test(swap_planner, a_leaving_engine_is_not_ordered)
+Test(swap_planner, a_leaving_engine_gets_no_orders)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m1"}, at(0s));
@@ -356,7 +356,7 @@
         cr_assert_neq(order.engine, "e1");
 }
 
-Test(swap_planner, an_adapter_joins_its_model)
+Test(swap_planner, an_adapter_is_loaded_beside_its_model)
 {
     swap_fixture test(4);
     test.engine("e1", {"m0"}, {}, at(0s));
@@ -368,7 +368,7 @@
     cr_assert_eq(orders[0].adapter, "a3");
 }
 
-Test(swap_planner, an_idle_adapter_gives_its_place)
+Test(swap_planner, an_idle_adapter_is_unloaded_for_another)
 {
     swap_fixture test(4);
     test.engine("e1", {"m1"}, {}, at(0s));
