--- a/bench/swapping/bench_swapping.cpp
+++ b/bench/swapping/bench_swapping.cpp
@@ -55,9 +55,9 @@
     std::size_t count,
     std::size_t models)
 {
-    router_word word;
-    word.router = "r";
-    word.sequence = 1;
+    router_word demand_report;
+    demand_report.router = "r";
+    demand_report.sequence = 1;
     for (std::size_t i = 0; i < count; ++i)
     {
         server_entry entry;
@@ -70,7 +70,7 @@
         {
             const std::string name = model_name((3 * i + held) % models);
             report.holdings.resident.push_back({name, {}});
-            word.uses.push_back(
+            demand_report.uses.push_back(
                 {servable_key("llm", name),
                  entry.id,
                  static_cast<std::uint32_t>(held),
@@ -81,7 +81,7 @@
                 model_name((7 * i + 11 * copy) % models));
         engines.reported(entry.id, report, instant());
     }
-    needs.heard(word, instant(10s));
+    needs.heard(demand_report, instant(10s));
 }
 
 void measure(std::size_t count, std::size_t models, std::size_t wanted)
@@ -90,16 +90,16 @@
     need_book needs{need_book::options()};
     engines.configured(make_deployment(models));
     fill(engines, needs, count, models);
-    router_word word;
-    word.router = "r";
-    word.sequence = 2;
+    router_word demand_report;
+    demand_report.router = "r";
+    demand_report.sequence = 2;
     for (std::size_t i = 0; i < wanted; ++i)
-        word.needs.push_back(
+        demand_report.needs.push_back(
             {servable_key("llm", model_name((3 * count + i) % models)),
              1,
              2'000'000,
              9'000'000});
-    needs.heard(word, instant(10s));
+    needs.heard(demand_report, instant(10s));
     swap_planner planner{swap_planner::options()};
     std::size_t orders = 0;
     const auto start = std::chrono::steady_clock::now();
--- a/src/core/swapping/demand_meter.cpp
+++ b/src/core/swapping/demand_meter.cpp
@@ -20,40 +20,41 @@
         return;
     const servable_parts parts = split_servable_key(servable);
     row& one = this->rows[servable_key(parts.service, parts.model)];
-    one.count = this->faded(one, now) + requests;
-    one.counted = now;
+    one.count = this->decayed(one, now) + requests;
+    one.updated = now;
 }
 
-double demand_meter::of(const std::string& model, instant now) const
+double demand_meter::decayed_count(const std::string& model, instant now) const
 {
     const auto found = this->rows.find(model);
-    return found == this->rows.end() ? 0 : this->faded(found->second, now);
+    return found == this->rows.end() ? 0 : this->decayed(found->second, now);
 }
 
-double demand_meter::rate(const std::string& model, instant now) const
+double
+demand_meter::requests_per_second(const std::string& model, instant now) const
 {
     const double half_life =
         std::chrono::duration<double>(this->settings.half_life).count();
-    return this->of(model, now) * std::numbers::ln2 / half_life;
+    return this->decayed_count(model, now) * std::numbers::ln2 / half_life;
 }
 
 void demand_meter::tick(instant now)
 {
     /// A single request decays to this after about seven half-lives.
-    constexpr double least = 0.01;
+    constexpr double negligible = 0.01;
     std::erase_if(
         this->rows,
         [&](const auto& entry)
         {
-            return this->faded(entry.second, now) < least;
+            return this->decayed(entry.second, now) < negligible;
         });
 }
 
-double demand_meter::faded(const row& counted, instant now) const
+double demand_meter::decayed(const row& counter, instant now) const
 {
-    const auto passed = static_cast<double>((now - counted.counted).count());
+    const auto elapsed = static_cast<double>((now - counter.updated).count());
     const auto half = static_cast<double>(this->settings.half_life.count());
-    return counted.count * std::exp2(-passed / half);
+    return counter.count * std::exp2(-elapsed / half);
 }
 
 } // namespace roseworks
--- a/src/core/swapping/demand_meter.hpp
+++ b/src/core/swapping/demand_meter.hpp
@@ -33,12 +33,12 @@
 
     /// @param model Key of the model.
     /// @return Decayed count of requests for the model and its adapters.
-    double of(const std::string& model, instant now) const;
+    double decayed_count(const std::string& model, instant now) const;
 
     /// @param model Key of the model.
     /// @return Requests per second: the steady rate that would give the decayed
     ///         count.
-    double rate(const std::string& model, instant now) const;
+    double requests_per_second(const std::string& model, instant now) const;
 
     /// Removes models whose decayed count is negligible.
     void tick(instant now);
@@ -47,10 +47,10 @@
     struct row
     {
         double count = 0;
-        instant counted;
+        instant updated;
     };
 
-    double faded(const row& counted, instant now) const;
+    double decayed(const row& counter, instant now) const;
 
     options settings;
     std::unordered_map<std::string, row> rows; ///< by model key
--- a/src/core/swapping/departure_meter.cpp
+++ b/src/core/swapping/departure_meter.cpp
@@ -11,25 +11,26 @@
 {
 }
 
-void departure_meter::seen(std::set<std::string> now_staying, instant now)
+void departure_meter::update(std::set<std::string> now_present, instant now)
 {
-    for (const std::string& before : this->staying)
+    for (const std::string& id : this->present)
     {
-        if (!now_staying.contains(before))
-            this->departed.push_back(now);
+        if (!now_present.contains(id))
+            this->loss_times.push_back(now);
     }
-    this->staying = std::move(now_staying);
-    while (!this->departed.empty() &&
-           now - this->departed.front() >= this->settings.memory)
-        this->departed.pop_front();
+    this->present = std::move(now_present);
+    while (!this->loss_times.empty() &&
+           now - this->loss_times.front() >= this->settings.window)
+        this->loss_times.pop_front();
 }
 
-double departure_meter::chance() const
+double departure_meter::loss_probability() const
 {
-    const double all =
-        static_cast<double>(std::max<std::size_t>(this->staying.size(), 1));
-    const double share = static_cast<double>(this->departed.size()) / all;
-    return std::clamp(share, this->settings.least, 1.0);
+    const double engine_count =
+        static_cast<double>(std::max<std::size_t>(this->present.size(), 1));
+    const double lost_share =
+        static_cast<double>(this->loss_times.size()) / engine_count;
+    return std::clamp(lost_share, this->settings.min_probability, 1.0);
 }
 
 } // namespace roseworks
--- a/src/core/swapping/departure_meter.hpp
+++ b/src/core/swapping/departure_meter.hpp
@@ -23,25 +23,25 @@
     struct options
     {
         /// Older losses say little about the next one.
-        duration memory = std::chrono::seconds(30);
+        duration window = std::chrono::seconds(30);
         /// Lower bound of the estimate, for when few engines were lost
         /// recently: a few in a hundred crash or are removed within a minute.
-        double least = 0.02;
+        double min_probability = 0.02;
     };
 
     explicit departure_meter(options settings);
 
     /// Counts the engines that are gone since the previous call as lost.
-    /// @param staying Ids of the engines that are listed and not leaving.
-    void seen(std::set<std::string> staying, instant now);
+    /// @param present Ids of the engines that are listed and not leaving.
+    void update(std::set<std::string> present, instant now);
 
     /// @return Probability that an engine is lost within the window.
-    double chance() const;
+    double loss_probability() const;
 
 private:
     options settings;
-    std::set<std::string> staying;
-    std::deque<instant> departed; ///< within the window, newest last
+    std::set<std::string> present;
+    std::deque<instant> loss_times; ///< within the window, newest last
 };
 
 } // namespace roseworks
--- a/src/core/swapping/engine_book.cpp
+++ b/src/core/swapping/engine_book.cpp
@@ -17,24 +17,26 @@
 }
 
 /// Takes over the lists of copies in host memory and on disk.
-void take_copies(engine_state& engine, const engine_holdings& told)
+void set_local_copies(engine_state& engine, const engine_holdings& copies)
 {
-    engine.in_memory.assign(told.in_memory.begin(), told.in_memory.end());
-    engine.on_disk = told.on_disk;
+    engine.in_memory.assign(copies.in_memory.begin(), copies.in_memory.end());
+    engine.on_disk = copies.on_disk;
 }
 
 } // namespace
 
-const held_model* engine_state::find(std::string_view model) const
+const loaded_model* engine_state::find(std::string_view model) const
 {
-    const auto found = std::ranges::find(this->held, model, &held_model::name);
-    return found == this->held.end() ? nullptr : &*found;
+    const auto found =
+        std::ranges::find(this->loaded_models, model, &loaded_model::name);
+    return found == this->loaded_models.end() ? nullptr : &*found;
 }
 
-held_model* engine_state::find(std::string_view model)
+loaded_model* engine_state::find(std::string_view model)
 {
-    const auto found = std::ranges::find(this->held, model, &held_model::name);
-    return found == this->held.end() ? nullptr : &*found;
+    const auto found =
+        std::ranges::find(this->loaded_models, model, &loaded_model::name);
+    return found == this->loaded_models.end() ? nullptr : &*found;
 }
 
 bool engine_state::holds(std::string_view servable) const
@@ -42,19 +44,19 @@
     const servable_parts parts = split_servable_key(servable);
     if (parts.service != this->entry.service)
         return false;
-    const held_model* model = this->find(parts.model);
+    const loaded_model* model = this->find(parts.model);
     if (model == nullptr)
         return false;
     return parts.adapter.empty() ||
            std::ranges::find(
-               model->adapters, parts.adapter, &held_adapter::name) !=
+               model->adapters, parts.adapter, &loaded_adapter::name) !=
                model->adapters.end();
 }
 
 double engine_state::used_mb() const
 {
     double total = 0;
-    for (const held_model& model : this->held)
+    for (const loaded_model& model : this->loaded_models)
         total += model.size_mb();
     return total;
 }
@@ -62,12 +64,12 @@
 std::size_t engine_state::adapter_count() const
 {
     std::size_t total = 0;
-    for (const held_model& model : this->held)
+    for (const loaded_model& model : this->loaded_models)
         total += model.adapters.size();
     return total;
 }
 
-weight_source engine_state::source_of(std::string_view model) const
+weight_source engine_state::weight_source_of(std::string_view model) const
 {
     if (contains(this->in_memory, model))
         return weight_source::memory;
@@ -77,19 +79,19 @@
 
 engine_residency engine_state::residency(std::uint64_t tenure) const
 {
-    engine_residency told;
-    told.engine = this->entry.id;
-    told.born_ms = this->entry.born_ms;
-    told.tenure = tenure;
-    told.revision = this->revision;
-    for (const held_model& model : this->held)
+    engine_residency result;
+    result.engine = this->entry.id;
+    result.born_ms = this->entry.born_ms;
+    result.tenure = tenure;
+    result.revision = this->revision;
+    for (const loaded_model& model : this->loaded_models)
     {
-        resident_model& one = told.resident.emplace_back();
+        resident_model& one = result.resident.emplace_back();
         one.name = model.name;
-        for (const held_adapter& adapter : model.adapters)
+        for (const loaded_adapter& adapter : model.adapters)
             one.adapters.push_back(adapter.name);
     }
-    return told;
+    return result;
 }
 
 engine_book::engine_book(options chosen)
@@ -100,29 +102,29 @@
 void engine_book::configured(std::shared_ptr<const deployment> next)
 {
     this->config = std::move(next);
-    for (auto& [id, engine] : this->known)
+    for (auto& [id, engine] : this->engines_by_id)
     {
-        for (held_model& held : engine.held)
+        for (loaded_model& loaded : engine.loaded_models)
         {
             const model_profile* model =
-                this->find_model(engine.entry.service, held.name);
+                this->find_model(engine.entry.service, loaded.name);
             if (model == nullptr)
                 continue;
-            held.weights_mb = model->memory_mb;
-            held.adapter_mb = model->adapter_mb;
+            loaded.weights_mb = model->memory_mb;
+            loaded.adapter_mb = model->adapter_mb;
         }
     }
 }
 
 bool engine_book::listed(const server_entry& entry)
 {
-    const auto found = this->known.find(entry.id);
-    if (found == this->known.end())
+    const auto found = this->engines_by_id.find(entry.id);
+    if (found == this->engines_by_id.end())
     {
         engine_state added;
         added.entry = entry;
-        take_copies(added, entry.holdings);
-        this->known.emplace(entry.id, std::move(added));
+        set_local_copies(added, entry.holdings);
+        this->engines_by_id.emplace(entry.id, std::move(added));
         return true;
     }
     engine_state& engine = found->second;
@@ -138,27 +140,27 @@
     }
     engine.entry = entry;
     if (!engine.examined)
-        take_copies(engine, entry.holdings);
+        set_local_copies(engine, entry.holdings);
     return restarted;
 }
 
 void engine_book::removed(std::string_view id)
 {
-    const auto found = this->known.find(id);
-    if (found != this->known.end())
-        this->known.erase(found);
+    const auto found = this->engines_by_id.find(id);
+    if (found != this->engines_by_id.end())
+        this->engines_by_id.erase(found);
 }
 
-void engine_book::take_over(duration between_holders, bool another_owned)
+void engine_book::take_over(duration new_lease, bool another_owned)
 {
-    this->lease = between_holders;
-    for (auto& [id, engine] : this->known)
+    this->lease = new_lease;
+    for (auto& [id, engine] : this->engines_by_id)
     {
         if (another_owned && engine.last_order != instant::min())
             engine.not_before =
                 std::max(engine.not_before, engine.last_order + this->lease);
         engine.examined = false;
-        engine.retaken = true;
+        engine.owner_changed = true;
         engine.order.reset();
     }
 }
@@ -169,32 +171,33 @@
     engine_state* engine = this->find_mutable(id);
     if (engine == nullptr || report.busy)
         return;
-    std::vector<held_model> held;
-    for (const resident_model& told : report.holdings.resident)
+    std::vector<loaded_model> loaded;
+    for (const resident_model& reported : report.holdings.resident)
     {
-        held_model& model = held.emplace_back();
-        model.name = told.name;
-        const held_model* before = std::as_const(*engine).find(told.name);
-        model.loaded = before == nullptr ? now : before->loaded;
+        loaded_model& model = loaded.emplace_back();
+        model.name = reported.name;
+        const loaded_model* before = std::as_const(*engine).find(reported.name);
+        model.loaded_at = before == nullptr ? now : before->loaded_at;
         const model_profile* profile =
-            this->find_model(engine->entry.service, told.name);
+            this->find_model(engine->entry.service, reported.name);
         if (profile != nullptr)
         {
             model.weights_mb = profile->memory_mb;
             model.adapter_mb = profile->adapter_mb;
         }
-        for (const std::string& adapter : told.adapters)
+        for (const std::string& adapter : reported.adapters)
             model.adapters.push_back({adapter, now});
     }
-    engine->held = std::move(held);
-    const bool ordered_by_another = std::exchange(engine->retaken, false) &&
-                                    engine->last_order != instant::min() &&
-                                    engine->orders_taken != report.orders_taken;
+    engine->loaded_models = std::move(loaded);
+    const bool ordered_by_another =
+        std::exchange(engine->owner_changed, false) &&
+        engine->last_order != instant::min() &&
+        engine->orders_taken != report.orders_taken;
     if (ordered_by_another)
         engine->not_before =
             std::max(engine->not_before, engine->last_order + this->lease);
     engine->orders_taken = report.orders_taken;
-    take_copies(*engine, report.holdings);
+    set_local_copies(*engine, report.holdings);
     engine->order.reset();
     engine->examined = true;
     engine->reachable = true;
@@ -212,36 +215,39 @@
     {
         // The model counts as unloaded at once: no request may be sent to the
         // engine for it.
-        if (const held_model* held = engine->find(order.model))
-            order.taken = *held;
-        this->carry_out(*engine, order, now);
+        if (const loaded_model* loaded = engine->find(order.model))
+            order.unloaded_model = *loaded;
+        this->apply_order(*engine, order, now);
         ++engine->revision;
     }
     engine->order = std::move(order);
     if (engine->order->is_store_load())
-        this->count_store_loads();
+        this->update_peak_store_loads();
 }
 
-void engine_book::count_store_loads()
+void engine_book::update_peak_store_loads()
 {
     std::vector<pending_order*> loads;
-    for (auto& [id, engine] : this->known)
+    for (auto& [id, engine] : this->engines_by_id)
     {
         if (engine.order && engine.order->is_store_load())
             loads.push_back(&*engine.order);
     }
     for (pending_order* one : loads)
-        one->at_once = std::max(one->at_once, loads.size());
+        one->peak_store_loads = std::max(one->peak_store_loads, loads.size());
 }
 
-bool engine_book::answered(std::string_view id, command_end how, instant now)
+bool engine_book::answered(
+    std::string_view id, command_end outcome, instant now)
 {
     engine_state* engine = this->find_mutable(id);
     if (engine == nullptr || !engine->order)
         return false;
     pending_order& order = *engine->order;
-    engine->strikes = how == command_end::out_of_step ? engine->strikes + 1 : 0;
-    switch (how)
+    engine->out_of_step_orders = outcome == command_end::out_of_step
+                                     ? engine->out_of_step_orders + 1
+                                     : 0;
+    switch (outcome)
     {
     case command_end::accepted:
         ++engine->orders_taken;
@@ -249,7 +255,7 @@
         if (order.adapter.empty() || order.action == engine_action::load)
             return false;
         // Requests still use the adapter, so its slot isn't free yet.
-        this->undo(*engine);
+        this->revert_order(*engine);
         engine->examined = false;
         return true;
     case command_end::already_so:
@@ -264,14 +270,15 @@
         break;
     case command_end::withheld:
     case command_end::out_of_step:
-        this->undo(*engine);
-        engine->examined = engine->strikes < this->settings.most_strikes;
+        this->revert_order(*engine);
+        engine->examined =
+            engine->out_of_step_orders < this->settings.max_out_of_step_orders;
         break;
     case command_end::fenced_off:
     case command_end::wrong_server:
     case command_end::refused:
     case command_end::unknown:
-        this->undo(*engine);
+        this->revert_order(*engine);
         engine->examined = false;
         break;
     }
@@ -282,26 +289,26 @@
 
 /// Reverts the effect of the pending order, which as far as known wasn't
 /// accepted.
-void engine_book::undo(engine_state& engine)
+void engine_book::revert_order(engine_state& engine)
 {
     const pending_order order = std::move(*engine.order);
     engine.order.reset();
-    if (!order.taken)
+    if (!order.unloaded_model)
         return;
     std::erase_if(
-        engine.held,
-        [&order](const held_model& held)
+        engine.loaded_models,
+        [&order](const loaded_model& loaded)
         {
-            return held.name == order.model;
+            return loaded.name == order.model;
         });
-    engine.held.push_back(*order.taken);
+    engine.loaded_models.push_back(*order.unloaded_model);
     ++engine.revision;
 }
 
 std::vector<finished_order> engine_book::advance(instant now)
 {
     std::vector<finished_order> done;
-    for (auto& [id, engine] : this->known)
+    for (auto& [id, engine] : this->engines_by_id)
     {
         const bool ended = engine.order && engine.order->done_at &&
                            *engine.order->done_at <= now &&
@@ -311,7 +318,7 @@
         const pending_order order = std::move(*engine.order);
         engine.order.reset();
         if (order.action == engine_action::load)
-            this->carry_out(engine, order, now);
+            this->apply_order(engine, order, now);
         ++engine.revision;
         std::string name = order.model;
         if (!order.adapter.empty())
@@ -324,7 +331,7 @@
 std::vector<std::string> engine_book::take_uncertain(instant now)
 {
     std::vector<std::string> found;
-    for (auto& [id, engine] : this->known)
+    for (auto& [id, engine] : this->engines_by_id)
     {
         if (!engine.order || !engine.order->is_store_load() ||
             !engine.order->done_at || *engine.order->done_at > now)
@@ -342,7 +349,7 @@
     {
         next = next ? std::min(*next, when) : when;
     };
-    for (const auto& [id, engine] : this->known)
+    for (const auto& [id, engine] : this->engines_by_id)
     {
         if (engine.order && engine.order->done_at)
             consider(*engine.order->done_at);
@@ -356,7 +363,7 @@
     if (engine == nullptr)
         return;
     if (engine->order)
-        this->undo(*engine);
+        this->revert_order(*engine);
     engine->examined = false;
     engine->reachable = false;
 }
@@ -364,7 +371,7 @@
 void engine_book::limits_named(
     const std::map<std::string, double, std::less<>>& all)
 {
-    for (auto& [id, engine] : this->known)
+    for (auto& [id, engine] : this->engines_by_id)
     {
         const auto named = all.find(id);
         engine.rate_limit = named == all.end() ? 0 : named->second;
@@ -378,7 +385,7 @@
         engine->orders_taken = 0;
 }
 
-void engine_book::distrust(std::string_view id)
+void engine_book::mark_unconfirmed(std::string_view id)
 {
     if (engine_state* engine = this->find_mutable(id))
         engine->examined = false;
@@ -386,14 +393,14 @@
 
 const engine_state* engine_book::find(std::string_view id) const
 {
-    const auto found = this->known.find(id);
-    return found == this->known.end() ? nullptr : &found->second;
+    const auto found = this->engines_by_id.find(id);
+    return found == this->engines_by_id.end() ? nullptr : &found->second;
 }
 
 engine_state* engine_book::find_mutable(std::string_view id)
 {
-    const auto found = this->known.find(id);
-    return found == this->known.end() ? nullptr : &found->second;
+    const auto found = this->engines_by_id.find(id);
+    return found == this->engines_by_id.end() ? nullptr : &found->second;
 }
 
 const engine_profile* engine_book::find_profile(std::string_view service) const
@@ -445,46 +452,46 @@
                             : this->load_time(*model, order.source);
 }
 
-void engine_book::carry_out(
+void engine_book::apply_order(
     engine_state& engine, const pending_order& order, instant now)
 {
     if (!order.adapter.empty())
-        this->carry_out_adapter(engine, order, now);
+        this->apply_adapter_order(engine, order, now);
     else if (order.action == engine_action::load)
-        this->loaded(engine, order, now);
+        this->apply_load(engine, order, now);
     else
         std::erase_if(
-            engine.held,
-            [&order](const held_model& held)
+            engine.loaded_models,
+            [&order](const loaded_model& loaded)
             {
-                return held.name == order.model;
+                return loaded.name == order.model;
             });
 }
 
-void engine_book::carry_out_adapter(
+void engine_book::apply_adapter_order(
     engine_state& engine, const pending_order& order, instant now)
 {
-    held_model* model = engine.find(order.model);
+    loaded_model* model = engine.find(order.model);
     if (model == nullptr)
         return;
     std::erase_if(
         model->adapters,
-        [&order](const held_adapter& held)
+        [&order](const loaded_adapter& loaded)
         {
-            return held.name == order.adapter;
+            return loaded.name == order.adapter;
         });
     if (order.action == engine_action::load)
         model->adapters.push_back({order.adapter, now});
 }
 
-void engine_book::loaded(
+void engine_book::apply_load(
     engine_state& engine, const pending_order& order, instant now)
 {
     if (engine.find(order.model) == nullptr)
     {
-        held_model& added = engine.held.emplace_back();
+        loaded_model& added = engine.loaded_models.emplace_back();
         added.name = order.model;
-        added.loaded = now;
+        added.loaded_at = now;
         const model_profile* profile =
             this->find_model(engine.entry.service, order.model);
         if (profile != nullptr)
@@ -495,10 +502,11 @@
     }
     if (!contains(engine.on_disk, order.model))
         engine.on_disk.push_back(order.model);
-    this->touch_memory(engine, order.model);
+    this->cache_in_host_memory(engine, order.model);
 }
 
-void engine_book::touch_memory(engine_state& engine, const std::string& model)
+void engine_book::cache_in_host_memory(
+    engine_state& engine, const std::string& model)
 {
     std::erase(engine.in_memory, model);
     engine.in_memory.push_back(model);
--- a/src/core/swapping/engine_book.hpp
+++ b/src/core/swapping/engine_book.hpp
@@ -44,20 +44,20 @@
 }
 
 /// An adapter in an engine's accelerator memory.
-struct held_adapter
+struct loaded_adapter
 {
     std::string name;
-    instant loaded;
+    instant loaded_at;
 };
 
 /// A model in an engine's accelerator memory.
-struct held_model
+struct loaded_model
 {
     std::string name;
     double weights_mb = 0;
     double adapter_mb = 0; ///< size of each adapter
-    instant loaded;        ///< when it was first known to be loaded
-    std::vector<held_adapter> adapters;
+    instant loaded_at;     ///< when it was first known to be loaded
+    std::vector<loaded_adapter> adapters;
 
     double size_mb() const
     {
@@ -78,10 +78,11 @@
     /// Expected completion. Empty until the order is answered, and again when
     /// only the engine's report can show whether a load from the store ended.
     std::optional<instant> done_at;
-    std::optional<held_model> taken; ///< model that an unload removes
+    std::optional<loaded_model>
+        unloaded_model;   ///< model that an unload removes
     bool running = false; ///< requests ran on the model that is unloaded
     /// Peak number of concurrent loads from the store since it was sent.
-    std::size_t at_once = 1;
+    std::size_t peak_store_loads = 1;
 
     bool is_store_load() const
     {
@@ -99,25 +100,25 @@
     bool reachable = true; ///< result of the last attempt
     double rate_limit = 0; ///< requests per second; 0: the engine named none
     std::uint64_t orders_taken = 0; ///< accepted since the engine's start
-    std::vector<held_model> held;
+    std::vector<loaded_model> loaded_models;
     std::deque<std::string> in_memory; ///< in host memory, last used last
     std::vector<std::string> on_disk;  ///< copies on the engine's disk
     std::optional<pending_order> order;
-    instant not_before = instant::min(); ///< no order is sent before this time
-    instant last_order = instant::min(); ///< when this router last sent one
-    std::uint32_t strikes = 0;           ///< consecutive orders out of step
-    bool retaken = false;       ///< another owner may have sent it orders
+    instant not_before = instant::min();  ///< no order is sent before this time
+    instant last_order = instant::min();  ///< when this router last sent one
+    std::uint32_t out_of_step_orders = 0; ///< consecutive orders out of step
+    bool owner_changed = false; ///< another owner may have sent it orders
     std::uint64_t revision = 1; ///< of the announced content
 
     /// @return Whether an order may be sent.
-    bool free(instant now) const
+    bool accepts_orders(instant now) const
     {
         return this->examined && !this->entry.leaving && !this->order &&
                now >= this->not_before;
     }
 
-    const held_model* find(std::string_view model) const;
-    held_model* find(std::string_view model);
+    const loaded_model* find(std::string_view model) const;
+    loaded_model* find(std::string_view model);
 
     /// @return Whether a model or adapter, named by its key, is loaded.
     bool holds(std::string_view servable) const;
@@ -128,7 +129,7 @@
     std::size_t adapter_count() const;
 
     /// @return Fastest source of a model's weights.
-    weight_source source_of(std::string_view model) const;
+    weight_source weight_source_of(std::string_view model) const;
 
     engine_residency residency(std::uint64_t tenure) const;
 };
@@ -171,7 +172,7 @@
         duration step_wait = std::chrono::milliseconds(50);
         /// Consecutive orders out of step after which the engine's report is
         /// read.
-        std::uint32_t most_strikes = 3;
+        std::uint32_t max_out_of_step_orders = 3;
     };
 
     explicit engine_book(options settings);
@@ -210,7 +211,7 @@
 
     /// Records the outcome of the pending order.
     /// @return Whether the engine's report has to be read.
-    bool answered(std::string_view id, command_end how, instant now);
+    bool answered(std::string_view id, command_end outcome, instant now);
 
     /// Completes the orders whose expected time has come, except loads from the
     /// store.
@@ -246,11 +247,11 @@
     void run_over(std::string_view id);
 
     /// Marks an engine's state as unconfirmed.
-    void distrust(std::string_view id);
+    void mark_unconfirmed(std::string_view id);
 
     const engines& all() const
     {
-        return this->known;
+        return this->engines_by_id;
     }
 
     const engine_state* find(std::string_view id) const;
@@ -266,17 +267,19 @@
 
 private:
     engine_state* find_mutable(std::string_view id);
-    void carry_out(engine_state& engine, const pending_order& order, instant);
-    void carry_out_adapter(engine_state& engine, const pending_order&, instant);
-    void loaded(engine_state& engine, const pending_order& order, instant now);
+    void apply_order(engine_state& engine, const pending_order& order, instant);
+    void
+    apply_adapter_order(engine_state& engine, const pending_order&, instant);
+    void
+    apply_load(engine_state& engine, const pending_order& order, instant now);
     duration order_time(const engine_state& engine, const pending_order&) const;
-    void undo(engine_state& engine);
-    void count_store_loads();
-    void touch_memory(engine_state& engine, const std::string& model);
+    void revert_order(engine_state& engine);
+    void update_peak_store_loads();
+    void cache_in_host_memory(engine_state& engine, const std::string& model);
 
     options settings;
     std::shared_ptr<const deployment> config;
-    engines known;
+    engines engines_by_id;
     duration lease{};
 };
 
--- a/src/core/swapping/load_ceiling.cpp
+++ b/src/core/swapping/load_ceiling.cpp
@@ -9,39 +9,41 @@
 
 load_ceiling::load_ceiling(options chosen)
     : settings(chosen)
-    , parallel(chosen.parallel)
+    , concurrency(chosen.initial_concurrency)
 {
 }
 
-bool load_ceiling::allows(double per_second, std::size_t running, instant now)
+bool load_ceiling::may_start(
+    double per_second, std::size_t running, instant now)
 {
-    while (!this->starts.empty() &&
-           now - this->starts.front() > this->settings.window)
-        this->starts.pop_front();
+    while (!this->start_times.empty() &&
+           now - this->start_times.front() > this->settings.window)
+        this->start_times.pop_front();
     const double seconds =
         std::chrono::duration<double>(this->settings.window).count();
-    const double most =
-        per_second * seconds * this->settings.factor * this->settings.caution;
-    return running < this->most_at_once() &&
-           static_cast<double>(this->starts.size()) + 1 <= most;
+    const double max_starts = per_second * seconds * this->settings.factor *
+                              this->settings.usable_share;
+    return running < this->concurrency_limit() &&
+           static_cast<double>(this->start_times.size()) + 1 <= max_starts;
 }
 
-void load_ceiling::began(instant now)
+void load_ceiling::load_started(instant now)
 {
-    this->starts.push_back(now);
+    this->start_times.push_back(now);
 }
 
-void load_ceiling::ended(duration took, duration stated, std::size_t at_once)
+void load_ceiling::load_ended(
+    duration measured, duration configured, std::size_t concurrent)
 {
-    const double times =
-        static_cast<double>(took.count()) /
-        static_cast<double>(std::max<duration::rep>(stated.count(), 1));
-    if (times >= this->settings.slowed)
-        this->parallel = std::max<std::size_t>(
-            std::lround(static_cast<double>(at_once) / times), 1);
-    else if (at_once >= this->parallel)
-        this->parallel =
-            std::min(this->parallel + 1, this->settings.most_parallel);
+    const double slowdown =
+        static_cast<double>(measured.count()) /
+        static_cast<double>(std::max<duration::rep>(configured.count(), 1));
+    if (slowdown >= this->settings.slowdown_threshold)
+        this->concurrency = std::max<std::size_t>(
+            std::lround(static_cast<double>(concurrent) / slowdown), 1);
+    else if (concurrent >= this->concurrency)
+        this->concurrency =
+            std::min(this->concurrency + 1, this->settings.max_concurrency);
 }
 
 } // namespace roseworks
--- a/src/core/swapping/load_ceiling.hpp
+++ b/src/core/swapping/load_ceiling.hpp
@@ -28,15 +28,15 @@
         double factor = 1.1;
         /// Share of the limit that is used: the store may count loads that the
         /// previous owner started in the same window.
-        double caution = 0.8;
+        double usable_share = 0.8;
         /// Concurrent loads until the store's capacity has been observed.
         /// Beyond its capacity each load takes longer in proportion.
-        std::size_t parallel = 4;
-        std::size_t most_parallel = 16;
+        std::size_t initial_concurrency = 4;
+        std::size_t max_concurrency = 16;
         /// A load whose duration exceeds the configured one by this factor was
         /// slowed down by concurrent loads. The factor allows for the report
         /// that shows the load's end, which lags by 0.2 s.
-        double slowed = 1.2;
+        double slowdown_threshold = 1.2;
     };
 
     explicit load_ceiling(options settings);
@@ -44,29 +44,29 @@
     /// @param per_second Loads per second that the store allows.
     /// @param running    Loads from the store that are in progress.
     /// @return Whether another load may start now.
-    bool allows(double per_second, std::size_t running, instant now);
+    bool may_start(double per_second, std::size_t running, instant now);
 
     /// @return Observed number of concurrent loads that the store serves at
     ///         full speed.
-    std::size_t most_at_once() const
+    std::size_t concurrency_limit() const
     {
-        return this->parallel;
+        return this->concurrency;
     }
 
-    void began(instant now);
+    void load_started(instant now);
 
     /// Adjusts the concurrency limit after a load has ended.
-    /// @param took    Measured duration.
-    /// @param stated  Configured duration.
-    /// @param at_once Peak number of concurrent loads while this one ran,
-    ///                itself included.
-    void ended(duration took, duration stated, std::size_t at_once);
+    /// @param measured   Measured duration.
+    /// @param configured Duration according to the configuration.
+    /// @param concurrent Peak number of concurrent loads while this one ran,
+    ///                   itself included.
+    void
+    load_ended(duration measured, duration configured, std::size_t concurrent);
 
 private:
     options settings;
-    std::size_t parallel; ///< current concurrency limit
-    std::deque<instant>
-        starts; ///< loads started within the window, oldest first
+    std::size_t concurrency;         ///< current concurrency limit
+    std::deque<instant> start_times; ///< within the window, oldest first
 };
 
 } // namespace roseworks
--- a/src/core/swapping/need_book.cpp
+++ b/src/core/swapping/need_book.cpp
@@ -12,15 +12,15 @@
 
 constexpr char key_separator = '\n';
 
-instant in_future(instant now, std::int64_t micros)
+instant time_after(instant now, std::int64_t micros)
 {
-    constexpr std::int64_t farthest = 3'600'000'000;
-    return now + duration(std::clamp(micros, -farthest, farthest));
+    constexpr std::int64_t max_offset = 3'600'000'000;
+    return now + duration(std::clamp(micros, -max_offset, max_offset));
 }
 
 /// Servables that can still meet an objective come first; the others have
 /// `instant::max()`.
-bool goes_before(const wanted_servable& left, const wanted_servable& right)
+bool is_more_urgent(const waiting_servable& left, const waiting_servable& right)
 {
     return std::tie(left.objective, left.deadline, left.servable) <
            std::tie(right.objective, right.deadline, right.servable);
@@ -30,7 +30,7 @@
 
 need_book::need_book(options chosen)
     : settings(chosen)
-    , asked(chosen.demand)
+    , demand_estimate(chosen.demand)
 {
 }
 
@@ -43,20 +43,22 @@
     return key;
 }
 
-bool need_book::heard(const router_word& word, instant now)
+bool need_book::heard(const router_word& report, instant now)
 {
-    router_row& row = this->rows[word.router];
+    router_row& row = this->rows[report.router];
     // A run's number is its start by wall clock, which may be set back. After
     // a silence, a report with a lower number comes from the live run.
-    const bool silent = now - row.heard >= this->settings.router_lifetime;
-    const bool older = (word.run < row.run && !silent) ||
-                       (word.run == row.run && word.sequence <= row.sequence);
-    if (older)
+    const bool was_silent =
+        now - row.reported_at >= this->settings.router_lifetime;
+    const bool outdated =
+        (report.run < row.run && !was_silent) ||
+        (report.run == row.run && report.sequence <= row.sequence);
+    if (outdated)
         return false;
-    row.run = word.run;
-    row.sequence = word.sequence;
-    row.heard = now;
-    for (const servable_need& need : word.needs)
+    row.run = report.run;
+    row.sequence = report.sequence;
+    row.reported_at = now;
+    for (const servable_need& need : report.needs)
     {
         if (need.waiting == 0)
         {
@@ -66,49 +68,52 @@
         const instant objective =
             need.objective_in_us == servable_need::no_objective
                 ? instant::max()
-                : in_future(now, need.objective_in_us);
+                : time_after(now, need.objective_in_us);
         need_row& before = row.needs[need.servable];
         // Requests that are refused never start on an engine, so demand has to
         // count waiting requests, too.
         if (need.waiting > before.waiting)
-            this->asked.add(need.servable, need.waiting - before.waiting, now);
+            this->demand_estimate.add(
+                need.servable, need.waiting - before.waiting, now);
         before = {
-            need.waiting, objective, in_future(now, need.deadline_in_us), now};
+            need.waiting, objective, time_after(now, need.deadline_in_us), now};
     }
-    this->take_uses(row, word, now);
+    this->apply_uses(row, report, now);
     return true;
 }
 
-void need_book::take_uses(router_row& row, const router_word& word, instant now)
+void need_book::apply_uses(
+    router_row& row, const router_word& report, instant now)
 {
-    for (const servable_use& told : word.uses)
+    for (const servable_use& reported : report.uses)
     {
-        const std::string key = use_key(told.engine, told.servable);
+        const std::string key = use_key(reported.engine, reported.servable);
         use_row& before = row.uses[key];
-        this->change_use(key, before.running, told.running);
-        before = {told.running, now, now};
+        this->update_running(key, before.running, reported.running);
+        before = {reported.running, now, now};
         this->uses[key].last_used = now;
-        this->asked.add(told.servable, told.started, now);
+        this->demand_estimate.add(reported.servable, reported.started, now);
     }
 }
 
-void need_book::change_use(
+void need_book::update_running(
     const std::string& key, std::uint32_t before, std::uint32_t after)
 {
     this->uses[key].running += after - before;
 }
 
-std::vector<wanted_servable> need_book::wanted(instant now) const
+std::vector<waiting_servable> need_book::waiting_servables(instant now) const
 {
-    std::unordered_map<std::string_view, wanted_servable> found;
+    std::unordered_map<std::string_view, waiting_servable> found;
     for (const auto& [router, row] : this->rows)
     {
         for (const auto& [servable, need] : row.needs)
         {
-            const bool old = now - need.heard > this->settings.need_lifetime;
-            if (old || need.deadline <= now)
+            const bool expired =
+                now - need.reported_at > this->settings.need_lifetime;
+            if (expired || need.deadline <= now)
                 continue;
-            wanted_servable& sum = found[servable];
+            waiting_servable& sum = found[servable];
             if (sum.waiting == 0)
             {
                 sum.servable = servable;
@@ -121,11 +126,11 @@
             sum.routers.push_back(router);
         }
     }
-    std::vector<wanted_servable> all;
+    std::vector<waiting_servable> all;
     all.reserve(found.size());
     for (auto& [servable, sum] : found)
         all.push_back(std::move(sum));
-    std::ranges::sort(all, goes_before);
+    std::ranges::sort(all, is_more_urgent);
     return all;
 }
 
@@ -145,7 +150,7 @@
     {
         const auto need = row.needs.find(key);
         if (need != row.needs.end() &&
-            now - need->second.heard <= this->settings.need_lifetime)
+            now - need->second.reported_at <= this->settings.need_lifetime)
             found.push_back(router);
     }
     return found;
@@ -170,25 +175,28 @@
         this->rows,
         [&](const auto& entry)
         {
-            return now - entry.second.heard < this->settings.router_lifetime;
+            return now - entry.second.reported_at <
+                   this->settings.router_lifetime;
         }));
 }
 
 void need_book::tick(instant now)
 {
-    this->asked.tick(now);
+    this->demand_estimate.tick(now);
     for (auto& [router, row] : this->rows)
     {
         std::erase_if(
             row.needs,
             [&](const auto& entry)
             {
-                return now - entry.second.heard > this->settings.need_lifetime;
+                return now - entry.second.reported_at >
+                       this->settings.need_lifetime;
             });
-        for (auto& [key, told] : row.uses)
+        for (auto& [key, reported] : row.uses)
         {
-            if (now - told.heard > this->settings.use_lifetime)
-                this->change_use(key, std::exchange(told.running, 0), 0);
+            if (now - reported.reported_at > this->settings.use_lifetime)
+                this->update_running(
+                    key, std::exchange(reported.running, 0), 0);
         }
         std::erase_if(
             row.uses,
@@ -202,9 +210,9 @@
         this->uses,
         [&](const auto& entry)
         {
-            constexpr duration remembered = std::chrono::seconds(60);
+            constexpr duration retention = std::chrono::seconds(60);
             return entry.second.running == 0 &&
-                   now - entry.second.last_used > remembered;
+                   now - entry.second.last_used > retention;
         });
 }
 
--- a/src/core/swapping/need_book.hpp
+++ b/src/core/swapping/need_book.hpp
@@ -17,7 +17,7 @@
 {
 
 /// A model or adapter for which requests wait, summed over all routers.
-struct wanted_servable
+struct waiting_servable
 {
     std::string servable; ///< key of the model or adapter
     std::uint32_t waiting = 0;
@@ -54,12 +54,12 @@
 
     /// Applies a router's report.
     /// @return False when the report is outdated; it is ignored then.
-    bool heard(const router_word& word, instant now);
+    bool heard(const router_word& report, instant now);
 
     /// @return All servables for which requests wait. Those that can still meet
     ///         an objective come first, by objective; the others follow, by
     ///         deadline.
-    std::vector<wanted_servable> wanted(instant now) const;
+    std::vector<waiting_servable> waiting_servables(instant now) const;
 
     /// Requests for one servable that run on one engine.
     struct use
@@ -77,14 +77,14 @@
     ///         that waited before it was sent to an engine is counted twice.
     double demand(const std::string& model, instant now) const
     {
-        return this->asked.of(model, now);
+        return this->demand_estimate.decayed_count(model, now);
     }
 
     /// @param model Key of the model.
     /// @return The same as requests per second.
     double demand_rate(const std::string& model, instant now) const
     {
-        return this->asked.rate(model, now);
+        return this->demand_estimate.requests_per_second(model, now);
     }
 
     /// @return Routers at which requests wait for a servable.
@@ -107,13 +107,13 @@
         std::uint32_t waiting = 0;
         instant objective;
         instant deadline;
-        instant heard;
+        instant reported_at;
     };
 
     struct use_row
     {
         std::uint32_t running = 0;
-        instant heard;
+        instant reported_at;
         instant last_used;
     };
 
@@ -121,21 +121,21 @@
     {
         std::uint64_t run = 0;
         std::uint64_t sequence = 0;
-        instant heard;
+        instant reported_at;
         std::unordered_map<std::string, need_row> needs; ///< by servable
         std::unordered_map<std::string, use_row> uses;   ///< by use_key
     };
 
     static std::string
     use_key(std::string_view engine, std::string_view servable);
-    void take_uses(router_row& row, const router_word& word, instant now);
-    void change_use(
+    void apply_uses(router_row& row, const router_word& report, instant now);
+    void update_running(
         const std::string& key, std::uint32_t before, std::uint32_t after);
 
     options settings;
     std::map<std::string, router_row, std::less<>> rows;
     std::unordered_map<std::string, use> uses; ///< by use_key
-    demand_meter asked;
+    demand_meter demand_estimate;
 };
 
 } // namespace roseworks
--- a/src/core/swapping/ownership_wait.hpp
+++ b/src/core/swapping/ownership_wait.hpp
@@ -31,16 +31,16 @@
                        sent, and other routers may still register.
 */
 constexpr duration
-ownership_wait(former_run before, bool first_start, duration lease)
+ownership_wait(former_run previous, bool first_start, duration lease)
 {
     /// Time for the other routers' records to arrive: routers on stronger VMs
     /// apply for ownership first.
-    constexpr duration settling = std::chrono::seconds(1);
+    constexpr duration settling_time = std::chrono::seconds(1);
     if (first_start)
-        return settling;
-    if (before == former_run::never_owned)
+        return settling_time;
+    if (previous == former_run::never_owned)
         return duration::zero();
-    return std::max(lease, settling);
+    return std::max(lease, settling_time);
 }
 
 } // namespace roseworks
--- a/src/core/swapping/peer_words.hpp
+++ b/src/core/swapping/peer_words.hpp
@@ -43,11 +43,13 @@
 ///         200 reports a second.
 constexpr duration use_word_pause(std::size_t routers)
 {
-    constexpr duration shortest = std::chrono::milliseconds(100);
-    constexpr duration longest = std::chrono::milliseconds(500);
-    constexpr duration each = std::chrono::milliseconds(5);
+    constexpr duration min_interval = std::chrono::milliseconds(100);
+    constexpr duration max_interval = std::chrono::milliseconds(500);
+    constexpr duration interval_per_router = std::chrono::milliseconds(5);
     return std::clamp(
-        each * static_cast<duration::rep>(routers), shortest, longest);
+        interval_per_router * static_cast<duration::rep>(routers),
+        min_interval,
+        max_interval);
 }
 
 /// Requests for one model or adapter that a router runs on one engine.
--- a/src/core/swapping/swap_planner.cpp
+++ b/src/core/swapping/swap_planner.cpp
@@ -16,7 +16,7 @@
 {
 
 /// Delay of a load by each unload that has to be ordered and answered first.
-constexpr duration unload_step = std::chrono::milliseconds(25);
+constexpr duration unload_delay = std::chrono::milliseconds(25);
 
 double seconds(duration length)
 {
@@ -25,14 +25,14 @@
 
 /// @return Whether a copy on the engine adds capacity. On an engine with a rate
 ///         limit it does so only when the model isn't loaded elsewhere.
-bool relieves(const engine_state& engine, bool is_elsewhere)
+bool adds_capacity(const engine_state& engine, bool is_elsewhere)
 {
     return !is_elsewhere || engine.rate_limit == 0;
 }
 
 /// @return Interval between requests at the engine's rate limit; zero when it
 ///         has none.
-duration limited_pause(const engine_state& engine)
+duration rate_limit_interval(const engine_state& engine)
 {
     if (engine.rate_limit == 0)
         return duration::zero();
@@ -44,36 +44,37 @@
 
 swap_planner::swap_planner(options chosen)
     : settings(chosen)
-    , ceiling(chosen.store)
-    , departures(chosen.departures)
+    , store_limiter(chosen.store)
+    , engine_loss(chosen.engine_loss)
 {
 }
 
 std::vector<swap_order> swap_planner::plan(
     const engine_book& engines, const need_book& needs, instant now)
 {
-    round current{engines, needs, now, {}, {}, {}, {}, {}, {}};
-    this->survey(current);
-    std::vector<want> wants = this->collect(current);
-    for (const want& what : wants)
-        current.wanted.insert(servable_key(what.service, what.model));
-    this->add_busy(current, wants);
+    planning_round round{engines, needs, now, {}, {}, {}, {}, {}, {}};
+    this->collect_usage(round);
+    std::vector<placement_request> requests = this->collect_requests(round);
+    for (const placement_request& request : requests)
+        round.awaited_models.insert(
+            servable_key(request.service, request.model));
+    this->add_extra_copies(round, requests);
     std::ranges::stable_sort(
-        wants,
-        [](const want& left, const want& right)
+        requests,
+        [](const placement_request& left, const placement_request& right)
         {
             return std::tie(left.objective, left.deadline) <
                    std::tie(right.objective, right.deadline);
         });
-    for (const want& what : wants)
+    for (const placement_request& request : requests)
     {
-        if (what.adapter.empty())
-            this->place_model(current, what);
+        if (request.adapter.empty())
+            this->place_model(round, request);
         else
-            this->place_adapter(current, what);
+            this->place_adapter(round, request);
     }
-    this->load_from_store(current);
-    return std::move(current.orders);
+    this->load_from_store(round);
+    return std::move(round.orders);
 }
 
 void swap_planner::store_load_ended(
@@ -83,312 +84,340 @@
         engines.find_model(engine.entry.service, engine.order->model);
     if (model == nullptr)
         return;
-    this->ceiling.ended(
+    this->store_limiter.load_ended(
         now - engine.order->sent,
         model->load_from_store,
-        engine.order->at_once);
+        engine.order->peak_store_loads);
 }
 
-void swap_planner::survey(round& current) const
+void swap_planner::collect_usage(planning_round& round) const
 {
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
     {
-        const engine_info& info =
-            current.infos.emplace(&engine, this->survey(current, engine))
+        const engine_usage& usage =
+            round.usage_by_engine
+                .emplace(&engine, this->collect_usage(round, engine))
                 .first->second;
         if (engine.entry.leaving || !engine.reachable)
             continue;
         const std::string& service = engine.entry.service;
-        for (std::size_t i = 0; i < engine.held.size(); ++i)
+        for (std::size_t i = 0; i < engine.loaded_models.size(); ++i)
         {
-            model_sum& sum =
-                current.sums[servable_key(service, engine.held[i].name)];
-            ++(engine.rate_limit > 0 ? sum.limited : sum.copies);
-            sum.running += info.held[i].running;
+            model_totals& totals = round.totals_by_model[servable_key(
+                service, engine.loaded_models[i].name)];
+            ++(engine.rate_limit > 0 ? totals.limited : totals.copies);
+            totals.running += usage.loaded_models[i].running;
         }
         const bool loading = engine.order &&
                              engine.order->action == engine_action::load &&
                              engine.order->adapter.empty();
         if (loading)
-            ++current.sums[servable_key(service, engine.order->model)].loading;
+            ++round.totals_by_model[servable_key(service, engine.order->model)]
+                  .loading;
     }
 }
 
-swap_planner::engine_info
-swap_planner::survey(const round& current, const engine_state& engine) const
+swap_planner::engine_usage swap_planner::collect_usage(
+    const planning_round& round, const engine_state& engine) const
 {
-    engine_info info;
-    for (const held_model& held : engine.held)
+    engine_usage usage;
+    for (const loaded_model& loaded : engine.loaded_models)
     {
-        held_info& one = info.held.emplace_back();
-        one.last_used = held.loaded;
+        model_usage& one = usage.loaded_models.emplace_back();
+        one.last_used = loaded.loaded_at;
         const auto consider = [&](std::string_view servable)
         {
-            const auto* use = current.needs.find_use(
+            const auto* use = round.needs.find_use(
                 engine.entry.id, servable_key(engine.entry.service, servable));
             if (use == nullptr)
                 return;
             one.running += use->running;
             one.last_used = std::max(one.last_used, use->last_used);
         };
-        consider(held.name);
-        for (const held_adapter& adapter : held.adapters)
-            consider(held.name + "/" + adapter.name);
-        info.running += one.running;
+        consider(loaded.name);
+        for (const loaded_adapter& adapter : loaded.adapters)
+            consider(loaded.name + "/" + adapter.name);
+        usage.running += one.running;
     }
-    return info;
+    return usage;
 }
 
-const swap_planner::model_sum&
-swap_planner::sum_of(const round& current, std::string_view key) const
+const swap_planner::model_totals&
+swap_planner::totals_of(const planning_round& round, std::string_view key) const
 {
-    static const model_sum nowhere;
-    const auto found = current.sums.find(std::string(key));
-    return found == current.sums.end() ? nowhere : found->second;
+    static const model_totals no_copies;
+    const auto found = round.totals_by_model.find(std::string(key));
+    return found == round.totals_by_model.end() ? no_copies : found->second;
 }
 
-std::vector<swap_planner::want>
-swap_planner::collect(const round& current) const
+std::vector<swap_planner::placement_request>
+swap_planner::collect_requests(const planning_round& round) const
 {
-    std::vector<want> wants;
-    for (const wanted_servable& told : current.needs.wanted(current.now))
+    std::vector<placement_request> requests;
+    for (const waiting_servable& need :
+         round.needs.waiting_servables(round.now))
     {
-        const servable_parts parts = split_servable_key(told.servable);
-        if (current.engines.find_model(parts.service, parts.model) == nullptr)
+        const servable_parts parts = split_servable_key(need.servable);
+        if (round.engines.find_model(parts.service, parts.model) == nullptr)
             continue;
-        want what;
-        what.servable = told.servable;
-        what.service = parts.service;
-        what.model = parts.model;
-        what.adapter = parts.adapter;
-        what.waiting = told.waiting;
-        what.objective = told.objective;
-        what.deadline = told.deadline;
+        placement_request request;
+        request.servable = need.servable;
+        request.service = parts.service;
+        request.model = parts.model;
+        request.adapter = parts.adapter;
+        request.waiting = need.waiting;
+        request.objective = need.objective;
+        request.deadline = need.deadline;
         const std::string key = servable_key(parts.service, parts.model);
-        const model_sum& sum = this->sum_of(current, key);
-        what.only_limited = sum.copies == 0 && sum.limited != 0;
-        if (!what.adapter.empty() && sum.copies == 0)
-            what.adapter.clear();
-        wants.push_back(std::move(what));
+        const model_totals& totals = this->totals_of(round, key);
+        request.only_rate_limited = totals.copies == 0 && totals.limited != 0;
+        if (!request.adapter.empty() && totals.copies == 0)
+            request.adapter.clear();
+        requests.push_back(std::move(request));
     }
-    return wants;
+    return requests;
 }
 
-std::uint32_t swap_planner::running_per_copy(
-    const round& current, std::string_view service) const
+std::uint32_t swap_planner::max_running_per_copy(
+    const planning_round& round, std::string_view service) const
 {
-    const engine_profile* profile = current.engines.find_profile(service);
+    const engine_profile* profile = round.engines.find_profile(service);
     const double slots = profile == nullptr ? 1.0 : profile->slots;
-    const auto by_slots =
-        static_cast<std::uint32_t>(slots * this->settings.slots_per_copy);
-    return std::clamp(by_slots, 1U, this->settings.running_per_copy);
+    const auto by_slots = static_cast<std::uint32_t>(
+        slots * this->settings.max_slot_share_per_copy);
+    return std::clamp(by_slots, 1U, this->settings.max_running_per_copy);
 }
 
 std::size_t swap_planner::copies_needed(
-    const round& current, std::string_view service, const model_sum& sum) const
+    const planning_round& round,
+    std::string_view service,
+    const model_totals& totals) const
 {
-    const std::uint32_t each = this->running_per_copy(current, service);
-    return (sum.running + each - 1) / each;
+    const std::uint32_t per_copy = this->max_running_per_copy(round, service);
+    return (totals.running + per_copy - 1) / per_copy;
 }
 
-void swap_planner::add_busy(
-    const round& current, std::vector<want>& wants) const
+void swap_planner::add_extra_copies(
+    const planning_round& round, std::vector<placement_request>& requests) const
 {
-    for (const auto& [key, sum] : current.sums)
+    for (const auto& [key, totals] : round.totals_by_model)
     {
         const servable_parts parts = split_servable_key(key);
         const std::size_t needed =
-            this->copies_needed(current, parts.service, sum);
+            this->copies_needed(round, parts.service, totals);
         // At most doubles the copies, because the counts of running requests
         // lag.
-        const std::size_t more = std::min(
-            needed - std::min(needed, sum.copies + sum.loading),
-            sum.copies - std::min(sum.copies, sum.loading));
-        for (std::size_t i = 0; i < more; ++i)
+        const std::size_t missing = std::min(
+            needed - std::min(needed, totals.copies + totals.loading),
+            totals.copies - std::min(totals.copies, totals.loading));
+        for (std::size_t i = 0; i < missing; ++i)
         {
-            want what;
-            what.servable = key;
-            what.service = parts.service;
-            what.model = parts.model;
-            what.waiting = sum.running;
-            what.objective = current.now + this->settings.copy_urgency;
-            what.deadline = instant::max();
-            what.extra_copy = true;
-            what.overloaded =
-                needed >= this->settings.overload * (sum.copies + sum.loading);
-            wants.push_back(std::move(what));
+            placement_request request;
+            request.servable = key;
+            request.service = parts.service;
+            request.model = parts.model;
+            request.waiting = totals.running;
+            request.objective = round.now + this->settings.extra_copy_objective;
+            request.deadline = instant::max();
+            request.extra_copy = true;
+            request.overloaded = needed >= this->settings.overload_factor *
+                                               (totals.copies + totals.loading);
+            requests.push_back(std::move(request));
         }
     }
+    // The order of a hash map isn't deterministic.
     std::ranges::sort(
-        wants,
-        std::ranges::less(),
-        &want::servable); // the order of a hash map isn't deterministic
+        requests, std::ranges::less(), &placement_request::servable);
 }
 
-void swap_planner::place_model(round& current, const want& what)
+void swap_planner::place_model(
+    planning_round& round, const placement_request& request)
 {
-    const std::string key = servable_key(what.service, what.model);
-    const model_sum& sum = this->sum_of(current, key);
-    const bool there = sum.copies + sum.loading != 0;
-    if (there && !what.extra_copy)
+    const std::string key = servable_key(request.service, request.model);
+    const model_totals& totals = this->totals_of(round, key);
+    const bool is_available = totals.copies + totals.loading != 0;
+    if (is_available && !request.extra_copy)
         return;
-    if (!this->copied_anywhere(current, what))
+    if (!this->has_any_copy(round, request))
     {
-        if (!what.extra_copy)
-            current.uncopied[key] += what.waiting;
+        if (!request.extra_copy)
+            round.waiting_without_copy[key] += request.waiting;
         return;
     }
-    bool placed = this->load_on_best(current, what, sources::own_copies);
-    if (!placed && what.only_limited && this->is_outpaced(current, what))
+    bool placed =
+        this->load_on_best_engine(round, request, load_targets::with_weights);
+    if (!placed && request.only_rate_limited &&
+        this->exceeds_rate_limits(round, request))
     {
         // No engine without a rate limit can load it now. A copy on a limited
         // engine adds that engine's rate.
-        want anywhere = what;
-        anywhere.only_limited = false;
-        placed = this->load_on_best(current, anywhere, sources::own_copies);
+        placement_request anywhere = request;
+        anywhere.only_rate_limited = false;
+        placed = this->load_on_best_engine(
+            round, anywhere, load_targets::with_weights);
     }
-    if (!placed && this->is_urgent(current, what))
-        this->reserve(current, what);
+    if (!placed && this->is_urgent(round, request))
+        this->reserve_engine(round, request);
 }
 
-bool swap_planner::is_outpaced(const round& current, const want& what) const
+bool swap_planner::exceeds_rate_limits(
+    const planning_round& round, const placement_request& request) const
 {
-    double pace = 0;
-    for (const auto& [id, engine] : current.engines.all())
+    double rate = 0;
+    for (const auto& [id, engine] : round.engines.all())
     {
-        if (engine.entry.service == what.service && engine.find(what.model))
-            pace += engine.rate_limit;
+        if (engine.entry.service == request.service &&
+            engine.find(request.model))
+            rate += engine.rate_limit;
     }
-    return what.waiting > pace;
+    return request.waiting > rate;
 }
 
-bool swap_planner::load_on_best(round& current, const want& what, sources from)
+bool swap_planner::load_on_best_engine(
+    planning_round& round,
+    const placement_request& request,
+    load_targets targets)
 {
-    const auto best = this->best_engine(current, what, from);
+    const auto best = this->find_best_engine(round, request, targets);
     if (!best)
         return false;
-    const std::string key = servable_key(what.service, what.model);
+    const std::string key = servable_key(request.service, request.model);
     const std::string& id = best->engine->entry.id;
-    current.taken.insert(id);
+    round.assigned_engines.insert(id);
     // Requests may wait for a model and its adapters at once: one load serves
     // both.
-    ++current.sums[key].loading;
+    ++round.totals_by_model[key].loading;
     if (!best->victims.empty())
     {
-        current.orders.push_back(
+        round.orders.push_back(
             {id, engine_action::unload, best->victims.front(), "", {}, 0});
         return true;
     }
     if (best->source == weight_source::store)
-        this->ceiling.began(current.now);
-    current.orders.push_back(
-        {id, engine_action::load, what.model, "", best->source, what.waiting});
+        this->store_limiter.load_started(round.now);
+    round.orders.push_back(
+        {id,
+         engine_action::load,
+         request.model,
+         "",
+         best->source,
+         request.waiting});
     return true;
 }
 
-std::unordered_map<std::string_view, std::size_t>
-swap_planner::count_copies(const round& current, std::string_view service) const
+std::unordered_map<std::string_view, std::size_t> swap_planner::count_copies(
+    const planning_round& round, std::string_view service) const
 {
     std::unordered_map<std::string_view, std::size_t> copies;
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
     {
         if (engine.entry.service != service || engine.entry.leaving ||
             !engine.reachable)
             continue;
         for (const std::string& model : engine.on_disk)
             ++copies[model];
-        for (const held_model& held : engine.held)
-            copies[held.name] +=
-                std::ranges::count(engine.on_disk, held.name) == 0 ? 1 : 0;
+        for (const loaded_model& loaded : engine.loaded_models)
+            copies[loaded.name] +=
+                std::ranges::count(engine.on_disk, loaded.name) == 0 ? 1 : 0;
         if (engine.order && engine.order->is_store_load())
             ++copies[engine.order->model];
     }
     return copies;
 }
 
-std::vector<swap_planner::want> swap_planner::store_wants(
-    const round& current, const std::string& service) const
+std::vector<swap_planner::placement_request>
+swap_planner::collect_store_requests(
+    const planning_round& round, const std::string& service) const
 {
-    const auto copies = this->count_copies(current, service);
-    std::vector<want> wants;
+    const auto copies = this->count_copies(round, service);
+    std::vector<placement_request> requests;
     for (const model_profile& model :
-         current.engines.find_profile(service)->models)
+         round.engines.find_profile(service)->models)
     {
         const std::string key = servable_key(service, model.name);
-        const auto waiting = current.uncopied.find(key);
+        const auto waiting = round.waiting_without_copy.find(key);
         const auto found = copies.find(model.name);
-        const std::size_t has = found == copies.end() ? 0 : found->second;
-        want one;
-        one.waiting = waiting == current.uncopied.end() ? 0 : waiting->second;
-        const double during_load = current.needs.demand_rate(key, current.now) *
-                                   seconds(model.load_from_store);
-        const double loss = std::pow(this->departures.chance(), has);
-        const double soon = std::pow(
+        const std::size_t copy_count =
+            found == copies.end() ? 0 : found->second;
+        placement_request request;
+        request.waiting =
+            waiting == round.waiting_without_copy.end() ? 0 : waiting->second;
+        const double requests_during_load =
+            round.needs.demand_rate(key, round.now) *
+            seconds(model.load_from_store);
+        const double all_lost_probability =
+            std::pow(this->engine_loss.loss_probability(), copy_count);
+        const double loss_during_load_probability = std::pow(
             seconds(model.load_from_store) /
-                seconds(this->settings.departures.memory),
-            has);
-        one.spared = one.waiting + during_load * loss * soon;
-        const double expected =
-            has == 0 ? std::min(current.needs.demand(key, current.now), 1.0)
-                     : during_load * loss;
-        if (has >= this->settings.spare_copies ||
-            one.waiting + expected < this->settings.requests_per_spare)
+                seconds(this->settings.engine_loss.window),
+            copy_count);
+        request.waits_avoided =
+            request.waiting + requests_during_load * all_lost_probability *
+                                  loss_during_load_probability;
+        const double expected_waits =
+            copy_count == 0 ? std::min(round.needs.demand(key, round.now), 1.0)
+                            : requests_during_load * all_lost_probability;
+        if (copy_count >= this->settings.desired_copies ||
+            request.waiting + expected_waits <
+                this->settings.min_expected_waits)
             continue;
-        one.uncopied = has == 0;
-        one.servable = key;
-        one.service = service;
-        one.model = model.name;
-        one.objective = instant::max();
-        one.deadline = instant::max();
-        wants.push_back(std::move(one));
+        request.has_no_copy = copy_count == 0;
+        request.servable = key;
+        request.service = service;
+        request.model = model.name;
+        request.objective = instant::max();
+        request.deadline = instant::max();
+        requests.push_back(std::move(request));
     }
-    std::ranges::stable_sort(wants, std::ranges::greater(), &want::spared);
-    return wants;
+    std::ranges::stable_sort(
+        requests, std::ranges::greater(), &placement_request::waits_avoided);
+    return requests;
 }
 
-void swap_planner::watch_departures(const round& current)
+void swap_planner::update_engine_loss(const planning_round& round)
 {
-    std::set<std::string> staying;
-    for (const auto& [id, engine] : current.engines.all())
+    std::set<std::string> present;
+    for (const auto& [id, engine] : round.engines.all())
     {
         if (!engine.entry.leaving)
-            staying.insert(id);
+            present.insert(id);
     }
-    this->departures.seen(std::move(staying), current.now);
+    this->engine_loss.update(std::move(present), round.now);
 }
 
-void swap_planner::load_from_store(round& current)
+void swap_planner::load_from_store(planning_round& round)
 {
-    const bool due =
-        current.now - this->copies_counted >= this->settings.spare_pause;
-    if (current.uncopied.empty() && !due)
+    const bool due = round.now - this->copies_counted_at >=
+                     this->settings.copy_count_interval;
+    if (round.waiting_without_copy.empty() && !due)
         return;
-    this->copies_counted = current.now;
-    this->watch_departures(current);
+    this->copies_counted_at = round.now;
+    this->update_engine_loss(round);
     std::set<std::string> services;
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
         services.insert(engine.entry.service);
-    this->expected.clear();
+    this->forecasts.clear();
     for (const std::string& service : services)
     {
-        const std::vector<want> wants = this->store_wants(current, service);
-        this->foresee(current, service, wants);
-        for (const want& what : wants)
+        const std::vector<placement_request> requests =
+            this->collect_store_requests(round, service);
+        this->forecast_loads(round, service, requests);
+        for (const placement_request& request : requests)
         {
-            const auto from = this->store_allows(current, what);
-            if (!from)
+            const auto targets = this->store_load_targets(round, request);
+            if (!targets)
                 break;
-            this->load_on_best(current, what, *from);
+            this->load_on_best_engine(round, request, *targets);
         }
     }
 }
 
 std::vector<instant> swap_planner::store_slots(
-    const round& current, const std::string& service) const
+    const planning_round& round, const std::string& service) const
 {
-    std::vector<instant> ends;
+    std::vector<instant> end_times;
     std::size_t engines = 0;
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
     {
         if (engine.entry.service != service || engine.entry.leaving)
             continue;
@@ -396,25 +425,26 @@
         if (!engine.order || !engine.order->is_store_load())
             continue;
         const model_profile* model =
-            current.engines.find_model(service, engine.order->model);
-        const duration whole =
+            round.engines.find_model(service, engine.order->model);
+        const duration load_duration =
             model == nullptr ? duration::zero() : model->load_from_store;
-        ends.push_back(std::max(engine.order->sent + whole, current.now));
+        end_times.push_back(
+            std::max(engine.order->sent + load_duration, round.now));
     }
-    const std::size_t most = this->most_store_loads(engines);
-    if (ends.size() < most)
-        ends.resize(most, current.now);
-    std::ranges::sort(ends);
-    return ends;
+    const std::size_t most = this->max_store_loads(engines);
+    if (end_times.size() < most)
+        end_times.resize(most, round.now);
+    std::ranges::sort(end_times);
+    return end_times;
 }
 
-void swap_planner::foresee(
-    const round& current,
+void swap_planner::forecast_loads(
+    const planning_round& round,
     const std::string& service,
-    std::span<const want> wants)
+    std::span<const placement_request> requests)
 {
-    const auto copies = this->count_copies(current, service);
-    for (const auto& [id, engine] : current.engines.all())
+    const auto copies = this->count_copies(round, service);
+    for (const auto& [id, engine] : round.engines.all())
     {
         const bool loads = engine.entry.service == service &&
                            !engine.entry.leaving && engine.reachable &&
@@ -422,86 +452,94 @@
         if (!loads || copies.at(engine.order->model) != 1)
             continue;
         const model_profile* model =
-            current.engines.find_model(service, engine.order->model);
+            round.engines.find_model(service, engine.order->model);
         if (model != nullptr)
-            this->expected.push_back(
+            this->forecasts.push_back(
                 {servable_key(service, model->name),
                  engine.order->sent + model->load_from_store});
     }
-    std::vector<instant> slots = this->store_slots(current, service);
-    for (const want& what : wants)
+    std::vector<instant> slots = this->store_slots(round, service);
+    for (const placement_request& request : requests)
     {
         const model_profile* model =
-            current.engines.find_model(service, what.model);
+            round.engines.find_model(service, request.model);
         const instant ready = slots.front() + model->load_from_store;
-        if (what.uncopied)
-            this->expected.push_back({what.servable, ready});
+        if (request.has_no_copy)
+            this->forecasts.push_back({request.servable, ready});
         slots.front() = ready;
         std::ranges::sort(slots);
     }
 }
 
-std::size_t swap_planner::most_store_loads(std::size_t engines) const
+std::size_t swap_planner::max_store_loads(std::size_t engines) const
 {
     // The other half of the engines stays free for loads from disk.
     return std::min(
-        this->ceiling.most_at_once(), std::max<std::size_t>(engines / 2, 1));
+        this->store_limiter.concurrency_limit(),
+        std::max<std::size_t>(engines / 2, 1));
 }
 
-bool swap_planner::is_urgent(const round& current, const want& what) const
+bool swap_planner::is_urgent(
+    const planning_round& round, const placement_request& request) const
 {
-    if (what.extra_copy)
-        return what.overloaded;
-    if (what.objective == instant::max())
+    if (request.extra_copy)
+        return request.overloaded;
+    if (request.objective == instant::max())
         return false;
     const model_profile* model =
-        current.engines.find_model(what.service, what.model);
-    const duration load =
-        current.engines.load_time(*model, weight_source::disk);
-    return what.objective - current.now - load < this->settings.reserve_slack;
+        round.engines.find_model(request.service, request.model);
+    const duration load = round.engines.load_time(*model, weight_source::disk);
+    return request.objective - round.now - load < this->settings.reserve_slack;
 }
 
-void swap_planner::reserve(round& current, const want& what) const
+void swap_planner::reserve_engine(
+    planning_round& round, const placement_request& request) const
 {
     const engine_state* best = nullptr;
     std::uint32_t least = 0;
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
     {
-        if (engine.entry.service != what.service || engine.entry.leaving ||
-            !engine.examined || current.taken.contains(id) ||
-            engine.source_of(what.model) == weight_source::store ||
-            !relieves(engine, what.only_limited))
+        if (engine.entry.service != request.service || engine.entry.leaving ||
+            !engine.examined || round.assigned_engines.contains(id) ||
+            engine.weight_source_of(request.model) == weight_source::store ||
+            !adds_capacity(engine, request.only_rate_limited))
             continue;
-        const std::uint32_t running = current.infos.at(&engine).running;
+        const std::uint32_t running = round.usage_by_engine.at(&engine).running;
         if (best != nullptr && running >= least)
             continue;
         best = &engine;
         least = running;
     }
     if (best != nullptr)
-        current.taken.insert(best->entry.id);
+        round.assigned_engines.insert(best->entry.id);
 }
 
-std::optional<swap_planner::candidate> swap_planner::best_engine(
-    const round& current, const want& what, sources from) const
+std::optional<swap_planner::candidate> swap_planner::find_best_engine(
+    const planning_round& round,
+    const placement_request& request,
+    load_targets targets) const
 {
     const model_profile* model =
-        current.engines.find_model(what.service, what.model);
-    const bool urgent = this->is_urgent(current, what);
-    const double most_copies = from == sources::bare_disks
-                                   ? this->bare_limit(current, what.service)
-                                   : std::numeric_limits<double>::infinity();
+        round.engines.find_model(request.service, request.model);
+    const bool urgent = this->is_urgent(round, request);
+    const double most_copies =
+        targets == load_targets::nearly_empty_disks
+            ? this->nearly_empty_limit(round, request.service)
+            : std::numeric_limits<double>::infinity();
     std::optional<candidate> best;
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
     {
         if (static_cast<double>(engine.on_disk.size()) >= most_copies)
             continue;
-        if (engine.entry.service != what.service || !engine.free(current.now) ||
-            current.taken.contains(id) || engine.find(what.model) != nullptr)
+        if (engine.entry.service != request.service ||
+            !engine.accepts_orders(round.now) ||
+            round.assigned_engines.contains(id) ||
+            engine.find(request.model) != nullptr)
             continue;
-        if (!relieves(engine, what.only_limited || what.extra_copy))
+        if (!adds_capacity(
+                engine, request.only_rate_limited || request.extra_copy))
             continue;
-        auto one = this->examine(current, engine, *model, from, urgent);
+        auto one = this->evaluate(round, engine, *model, targets, urgent);
         if (!one)
             continue;
         const bool sooner =
@@ -513,112 +551,117 @@
     return best;
 }
 
-std::optional<swap_planner::candidate> swap_planner::examine(
-    const round& current,
+std::optional<swap_planner::candidate> swap_planner::evaluate(
+    const planning_round& round,
     const engine_state& engine,
     const model_profile& model,
-    sources from,
+    load_targets targets,
     bool urgent) const
 {
     candidate one;
     one.engine = &engine;
-    one.source = engine.source_of(model.name);
-    const bool from_store = from != sources::own_copies;
+    one.source = engine.weight_source_of(model.name);
+    const bool from_store = targets != load_targets::with_weights;
     if ((one.source == weight_source::store) != from_store)
         return std::nullopt;
-    const bool room =
-        this->make_room(current, engine, model.memory_mb, urgent, one.victims);
-    if (!room)
+    const bool fits =
+        this->find_victims(round, engine, model.memory_mb, urgent, one.victims);
+    if (!fits)
         return std::nullopt;
-    one.ready_in = current.engines.load_time(model, one.source) +
-                   unload_step * static_cast<int>(one.victims.size()) +
-                   limited_pause(engine);
-    one.running = current.infos.at(&engine).running;
+    one.ready_in = round.engines.load_time(model, one.source) +
+                   unload_delay * static_cast<int>(one.victims.size()) +
+                   rate_limit_interval(engine);
+    one.running = round.usage_by_engine.at(&engine).running;
     return one;
 }
 
-bool swap_planner::make_room(
-    const round& current,
+bool swap_planner::find_victims(
+    const planning_round& round,
     const engine_state& engine,
     double needed_mb,
     bool urgent,
     std::vector<std::string>& victims) const
 {
     const engine_profile* profile =
-        current.engines.find_profile(engine.entry.service);
-    double room = profile->memory_mb - engine.used_mb() - needed_mb;
-    if (room >= 0)
+        round.engines.find_profile(engine.entry.service);
+    double free_mb = profile->memory_mb - engine.used_mb() - needed_mb;
+    if (free_mb >= 0)
         return true;
-    const engine_info& info = current.infos.at(&engine);
-    std::vector<std::tuple<std::uint32_t, instant, const held_model*>> idle;
-    for (std::size_t i = 0; i < engine.held.size(); ++i)
+    const engine_usage& usage = round.usage_by_engine.at(&engine);
+    std::vector<std::tuple<std::uint32_t, instant, const loaded_model*>> idle;
+    for (std::size_t i = 0; i < engine.loaded_models.size(); ++i)
     {
-        const held_info& one = info.held[i];
-        if (this->may_unload(current, engine, engine.held[i], one, urgent))
-            idle.emplace_back(one.running, one.last_used, &engine.held[i]);
+        const model_usage& one = usage.loaded_models[i];
+        if (this->may_unload(
+                round, engine, engine.loaded_models[i], one, urgent))
+            idle.emplace_back(
+                one.running, one.last_used, &engine.loaded_models[i]);
     }
     std::ranges::sort(idle);
-    for (const auto& [running, since, held] : idle)
+    for (const auto& [running, since, loaded] : idle)
     {
-        victims.push_back(held->name);
-        room += held->size_mb();
-        if (room >= 0)
+        victims.push_back(loaded->name);
+        free_mb += loaded->size_mb();
+        if (free_mb >= 0)
             return true;
     }
     return false;
 }
 
 bool swap_planner::may_unload(
-    const round& current,
+    const planning_round& round,
     const engine_state& engine,
-    const held_model& held,
-    const held_info& info,
+    const loaded_model& loaded,
+    const model_usage& usage,
     bool urgent) const
 {
-    const std::string key = servable_key(engine.entry.service, held.name);
+    const std::string key = servable_key(engine.entry.service, loaded.name);
     const std::uint32_t most =
-        urgent ? this->settings.most_running_unloaded : 0;
-    const bool used =
-        info.running != 0 || current.now - info.last_used < this->settings.idle;
-    const bool just_loaded = current.now - held.loaded < this->settings.idle;
-    if (current.wanted.contains(key) || info.running > most || just_loaded ||
-        (used && !urgent))
+        urgent ? this->settings.max_running_to_unload : 0;
+    const bool used = usage.running != 0 || round.now - usage.last_used <
+                                                this->settings.min_idle_time;
+    const bool just_loaded =
+        round.now - loaded.loaded_at < this->settings.min_idle_time;
+    if (round.awaited_models.contains(key) || usage.running > most ||
+        just_loaded || (used && !urgent))
         return false;
-    model_sum rest = this->sum_of(current, key);
-    rest.running -= std::min(rest.running, info.running);
+    model_totals rest = this->totals_of(round, key);
+    rest.running -= std::min(rest.running, usage.running);
     const std::size_t copies =
         rest.copies + (engine.rate_limit > 0 ? rest.limited : 0);
-    return copies > this->copies_needed(current, engine.entry.service, rest);
+    return copies > this->copies_needed(round, engine.entry.service, rest);
 }
 
-void swap_planner::place_adapter(round& current, const want& what) const
+void swap_planner::place_adapter(
+    planning_round& round, const placement_request& request) const
 {
     const engine_state* best = nullptr;
     std::tuple<bool, std::uint32_t> best_cost;
-    const std::string key = servable_key(what.service, what.model);
-    const bool is_elsewhere = this->sum_of(current, key).copies != 0;
-    for (const auto& [id, engine] : current.engines.all())
+    const std::string key = servable_key(request.service, request.model);
+    const bool is_elsewhere = this->totals_of(round, key).copies != 0;
+    for (const auto& [id, engine] : round.engines.all())
     {
-        const held_model* model = engine.find(what.model);
-        if (engine.entry.service != what.service || model == nullptr ||
+        const loaded_model* model = engine.find(request.model);
+        if (engine.entry.service != request.service || model == nullptr ||
             engine.entry.leaving || !engine.reachable ||
-            !relieves(engine, is_elsewhere))
+            !adds_capacity(engine, is_elsewhere))
             continue;
         if (std::ranges::find(
-                model->adapters, what.adapter, &held_adapter::name) !=
+                model->adapters, request.adapter, &loaded_adapter::name) !=
             model->adapters.end())
             return; // the waiting routers are told that it is loaded
-        const bool on_its_way = engine.order &&
-                                engine.order->adapter == what.adapter &&
-                                engine.order->model == what.model;
-        if (on_its_way)
+        const bool is_loading = engine.order &&
+                                engine.order->adapter == request.adapter &&
+                                engine.order->model == request.model;
+        if (is_loading)
             return;
-        if (!engine.free(current.now) || current.taken.contains(id))
+        if (!engine.accepts_orders(round.now) ||
+            round.assigned_engines.contains(id))
             continue;
         const engine_profile* profile =
-            current.engines.find_profile(what.service);
+            round.engines.find_profile(request.service);
         const bool full = engine.adapter_count() >= profile->adapter_places;
-        const std::tuple cost(full, current.infos.at(&engine).running);
+        const std::tuple cost(full, round.usage_by_engine.at(&engine).running);
         if (best == nullptr || cost < best_cost)
         {
             best = &engine;
@@ -629,32 +672,34 @@
         return;
     swap_order order;
     order.engine = best->entry.id;
-    order.model = what.model;
-    order.adapter = what.adapter;
-    order.waiting = what.waiting;
-    if (std::get<0>(best_cost) && !this->unload_adapter(current, *best, order))
+    order.model = request.model;
+    order.adapter = request.adapter;
+    order.waiting = request.waiting;
+    if (std::get<0>(best_cost) && !this->unload_adapter(round, *best, order))
         return;
-    current.taken.insert(best->entry.id);
-    current.orders.push_back(std::move(order));
+    round.assigned_engines.insert(best->entry.id);
+    round.orders.push_back(std::move(order));
 }
 
 bool swap_planner::unload_adapter(
-    const round& current, const engine_state& engine, swap_order& order) const
+    const planning_round& round,
+    const engine_state& engine,
+    swap_order& order) const
 {
     instant oldest = instant::max();
-    for (const held_model& model : engine.held)
+    for (const loaded_model& model : engine.loaded_models)
     {
-        for (const held_adapter& adapter : model.adapters)
+        for (const loaded_adapter& adapter : model.adapters)
         {
-            const auto* use = current.needs.find_use(
+            const auto* use = round.needs.find_use(
                 engine.entry.id,
                 servable_key(
                     engine.entry.service, model.name + "/" + adapter.name));
-            const instant last = use == nullptr
-                                     ? adapter.loaded
-                                     : std::max(adapter.loaded, use->last_used);
+            const instant last =
+                use == nullptr ? adapter.loaded_at
+                               : std::max(adapter.loaded_at, use->last_used);
             const bool idle = (use == nullptr || use->running == 0) &&
-                              current.now - last >= this->settings.idle;
+                              round.now - last >= this->settings.min_idle_time;
             if (!idle || last >= oldest)
                 continue;
             oldest = last;
@@ -666,30 +711,30 @@
     return oldest != instant::max();
 }
 
-double
-swap_planner::bare_limit(const round& current, std::string_view service) const
+double swap_planner::nearly_empty_limit(
+    const planning_round& round, std::string_view service) const
 {
     const auto engines = std::ranges::count_if(
-        current.engines.all(),
+        round.engines.all(),
         [service](const auto& entry)
         {
             return entry.second.entry.service == service &&
                    !entry.second.entry.leaving;
         });
     const std::size_t models =
-        current.engines.find_profile(service)->models.size();
-    return static_cast<double>(models * this->settings.spare_copies) /
+        round.engines.find_profile(service)->models.size();
+    return static_cast<double>(models * this->settings.desired_copies) /
            static_cast<double>(std::max<std::ptrdiff_t>(engines, 1));
 }
 
-std::optional<swap_planner::sources>
-swap_planner::store_allows(const round& current, const want& what)
+std::optional<swap_planner::load_targets> swap_planner::store_load_targets(
+    const planning_round& round, const placement_request& request)
 {
     std::size_t engines = 0;
     std::size_t running = 0;
-    for (const auto& [id, engine] : current.engines.all())
+    for (const auto& [id, engine] : round.engines.all())
     {
-        if (engine.entry.service != what.service || engine.entry.leaving)
+        if (engine.entry.service != request.service || engine.entry.leaving)
             continue;
         ++engines;
         const bool loading = engine.order && engine.order->is_store_load();
@@ -698,7 +743,7 @@
         running += loading || !engine.examined ? 1 : 0;
     }
     running += static_cast<std::size_t>(std::ranges::count_if(
-        current.orders,
+        round.orders,
         [](const swap_order& order)
         {
             return order.action == engine_action::load &&
@@ -707,24 +752,27 @@
         }));
     const std::size_t share = std::max<std::size_t>(
         engines / this->settings.engines_per_store_load, 1);
-    const engine_profile* profile = current.engines.find_profile(what.service);
-    const bool allowed = this->ceiling.allows(
-        profile->store_loads_per_second, running, current.now);
-    if (!allowed || running >= this->most_store_loads(engines))
+    const engine_profile* profile = round.engines.find_profile(request.service);
+    const bool allowed = this->store_limiter.may_start(
+        profile->store_loads_per_second, running, round.now);
+    if (!allowed || running >= this->max_store_loads(engines))
         return std::nullopt;
-    return running < share ? sources::store : sources::bare_disks;
+    return running < share ? load_targets::without_weights
+                           : load_targets::nearly_empty_disks;
 }
 
-bool swap_planner::copied_anywhere(const round& current, const want& what) const
+bool swap_planner::has_any_copy(
+    const planning_round& round, const placement_request& request) const
 {
     return std::ranges::any_of(
-        current.engines.all(),
-        [&what](const auto& entry)
+        round.engines.all(),
+        [&request](const auto& entry)
         {
             const engine_state& engine = entry.second;
-            return engine.entry.service == what.service &&
+            return engine.entry.service == request.service &&
                    !engine.entry.leaving &&
-                   engine.source_of(what.model) != weight_source::store;
+                   engine.weight_source_of(request.model) !=
+                       weight_source::store;
         });
 }
 
--- a/src/core/swapping/swap_planner.hpp
+++ b/src/core/swapping/swap_planner.hpp
@@ -57,45 +57,45 @@
         /// A model that has been idle for this long may be unloaded. Before
         /// that, requests of routers that know the model to be loaded may still
         /// be on their way. Routers report the end of a use within 20 ms.
-        duration idle = std::chrono::milliseconds(150);
+        duration min_idle_time = std::chrono::milliseconds(150);
         /// Running requests per loaded copy above which another copy is loaded.
         /// An engine processes 38 prompt tokens per millisecond. With about 650
         /// prompt tokens and 0.45 s per request, 8 requests use a third of
         /// that.
-        std::uint32_t running_per_copy = 8;
+        std::uint32_t max_running_per_copy = 8;
         /// The same limit as a share of the engine's slots. Above it, requests
         /// of different routers, which don't know of each other's, would queue
         /// at the engine.
-        double slots_per_copy = 0.35;
+        double max_slot_share_per_copy = 0.35;
         /// An additional copy is as urgent as a request whose objective is this
         /// far away.
-        duration copy_urgency = std::chrono::milliseconds(600);
+        duration extra_copy_objective = std::chrono::milliseconds(600);
         /// When a model needs this many times its present copies, an engine
         /// that has its weights is reserved for another copy. Otherwise, after
         /// a loss of many engines, rarer models would take all freed memory on
         /// the few engines that have the weights.
-        std::uint32_t overload = 2;
+        std::uint32_t overload_factor = 2;
         /// A model whose load has to begin within this time to meet its
         /// objective reserves an engine that has its weights. Otherwise smaller
         /// or more popular models would take all memory as it is freed.
         duration reserve_slack = std::chrono::milliseconds(900);
         /// Such an urgent model may replace a model on which up to this many
         /// requests run: the engine finishes them first.
-        std::uint32_t most_running_unloaded = 2;
+        std::uint32_t max_running_to_unload = 2;
         /// A load from the store occupies its engine for 6 s or more, so only
         /// one in this many engines does one at a time.
         std::size_t engines_per_store_load = 6;
         /// Number of engines whose disks should have a requested model. When
         /// one engine is lost, another can load the model from disk in a
         /// second, instead of from the store in 6 s or more.
-        std::size_t spare_copies = 2;
+        std::size_t desired_copies = 2;
         /// A model is loaded from the store only when at least this many
         /// requests wait for it or would have to wait otherwise; for fewer it
         /// isn't worth the engine's time.
-        double requests_per_spare = 0.2;
+        double min_expected_waits = 0.2;
         /// Interval at which the copies on all engines are counted.
-        duration spare_pause = std::chrono::milliseconds(100);
-        departure_meter::options departures;
+        duration copy_count_interval = std::chrono::milliseconds(100);
+        departure_meter::options engine_loss;
         load_ceiling::options store;
     };
 
@@ -115,12 +115,12 @@
     ///         planned. Updated when the copies are counted.
     std::span<const load_outlook> outlooks() const
     {
-        return this->expected;
+        return this->forecasts;
     }
 
 private:
     /// A base model or adapter that should be loaded.
-    struct want
+    struct placement_request
     {
         std::string servable; ///< key of the model or adapter
         std::string service;
@@ -132,11 +132,11 @@
         bool extra_copy = false; ///< loaded, but on too few engines
         bool overloaded = false; ///< extra copy that is needed urgently
         /// It is loaded only on engines with a rate limit.
-        bool only_limited = false;
+        bool only_rate_limited = false;
         /// Expected number of requests that don't have to wait if a load from
         /// the store starts now instead of after the next one.
-        double spared = 0;
-        bool uncopied = false; ///< no engine has the weights or loads them
+        double waits_avoided = 0;
+        bool has_no_copy = false; ///< no engine has the weights or loads them
     };
 
     /// An engine that could load the model.
@@ -150,21 +150,22 @@
     };
 
     /// Use of a model on one engine, its adapters included.
-    struct held_info
+    struct model_usage
     {
         std::uint32_t running = 0;
         instant last_used;
     };
 
     /// Use of an engine's models.
-    struct engine_info
+    struct engine_usage
     {
-        std::vector<held_info> held; ///< in the order of the engine's models
+        /// In the order of the engine's loaded models.
+        std::vector<model_usage> loaded_models;
         std::uint32_t running = 0;
     };
 
     /// Totals of a model over all engines of its service.
-    struct model_sum
+    struct model_totals
     {
         std::size_t copies = 0;  ///< loaded on engines without a rate limit
         std::size_t limited = 0; ///< loaded on engines with a rate limit
@@ -173,116 +174,137 @@
     };
 
     /// Engines that may load a model.
-    enum class sources : std::uint8_t
+    enum class load_targets : std::uint8_t
     {
-        own_copies, ///< those that have the weights
-        store,      ///< those that need the weights from the store
-        bare_disks  ///< as `store`, but only those with almost empty disks
+        with_weights,      ///< those that have the weights
+        without_weights,   ///< those that need the weights from the store
+        nearly_empty_disks ///< the same, but only those with nearly empty disks
     };
 
     /// State of one planning round.
-    struct round
+    struct planning_round
     {
         const engine_book& engines;
         const need_book& needs;
         instant now;
-        std::unordered_map<const engine_state*, engine_info> infos;
-        std::unordered_map<std::string, model_sum> sums; ///< by model key
+        std::unordered_map<const engine_state*, engine_usage> usage_by_engine;
+        /// By model key.
+        std::unordered_map<std::string, model_totals> totals_by_model;
         /// Ids of engines that get an order in this round or are reserved.
-        std::set<std::string, std::less<>> taken;
-        std::set<std::string, std::less<>> wanted; ///< keys of awaited models
+        std::set<std::string, std::less<>> assigned_engines;
+        /// Keys of models for which requests wait, also for an adapter.
+        std::set<std::string, std::less<>> awaited_models;
         std::vector<swap_order> orders;
         /// Requests that wait for a model whose weights no engine has, by model
         /// key.
-        std::unordered_map<std::string, std::uint32_t> uncopied;
+        std::unordered_map<std::string, std::uint32_t> waiting_without_copy;
     };
 
-    void survey(round& current) const;
-    engine_info survey(const round& current, const engine_state& engine) const;
-    std::vector<want> collect(const round& current) const;
-    void add_busy(const round& current, std::vector<want>& wants) const;
-    std::uint32_t
-    running_per_copy(const round& current, std::string_view service) const;
+    void collect_usage(planning_round& round) const;
+    engine_usage collect_usage(
+        const planning_round& round, const engine_state& engine) const;
+    std::vector<placement_request>
+    collect_requests(const planning_round& round) const;
+    void add_extra_copies(
+        const planning_round& round,
+        std::vector<placement_request>& requests) const;
+    std::uint32_t max_running_per_copy(
+        const planning_round& round, std::string_view service) const;
     std::size_t copies_needed(
-        const round& current,
+        const planning_round& round,
         std::string_view service,
-        const model_sum& sum) const;
-    void place_model(round& current, const want& what);
+        const model_totals& totals) const;
+    void place_model(planning_round& round, const placement_request& request);
     /// @return Whether more requests wait for the model than the rate limits of
     ///         the engines that have it allow in a second.
-    bool is_outpaced(const round& current, const want& what) const;
+    bool exceeds_rate_limits(
+        const planning_round& round, const placement_request& request) const;
     /// Orders a load on the best engine, or an unload that makes room for it.
     /// @return Whether there is such an engine.
-    bool load_on_best(round& current, const want& what, sources from);
-    void place_adapter(round& current, const want& what) const;
-    std::optional<candidate>
-    best_engine(const round& current, const want& what, sources from) const;
-    std::optional<candidate> examine(
-        const round& current,
+    bool load_on_best_engine(
+        planning_round& round,
+        const placement_request& request,
+        load_targets targets);
+    void place_adapter(
+        planning_round& round, const placement_request& request) const;
+    std::optional<candidate> find_best_engine(
+        const planning_round& round,
+        const placement_request& request,
+        load_targets targets) const;
+    std::optional<candidate> evaluate(
+        const planning_round& round,
         const engine_state& engine,
         const model_profile& model,
-        sources from,
+        load_targets targets,
         bool urgent) const;
     /// @return Number of models on an engine's disk below which the disk counts
     ///         as almost empty: the engine can do little but load from the
     ///         store.
-    double bare_limit(const round& current, std::string_view service) const;
-    bool make_room(
-        const round& current,
+    double nearly_empty_limit(
+        const planning_round& round, std::string_view service) const;
+    /// Selects models to unload until the needed memory is free.
+    /// @return Whether enough memory can be freed.
+    bool find_victims(
+        const planning_round& round,
         const engine_state& engine,
         double needed_mb,
         bool urgent,
         std::vector<std::string>& victims) const;
     bool may_unload(
-        const round& current,
+        const planning_round& round,
         const engine_state& engine,
-        const held_model& held,
-        const held_info& info,
+        const loaded_model& loaded,
+        const model_usage& usage,
         bool urgent) const;
-    bool is_urgent(const round& current, const want& what) const;
-    /** Orders loads from the store, those that spare most requests a wait
-       first.
+    bool is_urgent(
+        const planning_round& round, const placement_request& request) const;
+    /** Orders loads from the store, starting with the model that spares most
+        requests a wait.
 
         Engines that a release has replaced start with empty disks, and a load
         from the store takes 6 s. Many requests may need models whose weights
         are on no engine, or only on engines that will be replaced soon.
     */
-    void load_from_store(round& current);
-    std::vector<want>
-    store_wants(const round& current, const std::string& service) const;
+    void load_from_store(planning_round& round);
+    std::vector<placement_request> collect_store_requests(
+        const planning_round& round, const std::string& service) const;
     /// @return Number of engines that have a model's weights or load them from
     ///         the store, by model name.
     std::unordered_map<std::string_view, std::size_t>
-    count_copies(const round& current, std::string_view service) const;
-    void watch_departures(const round& current);
-    void foresee(
-        const round& current,
+    count_copies(const planning_round& round, std::string_view service) const;
+    void update_engine_loss(const planning_round& round);
+    void forecast_loads(
+        const planning_round& round,
         const std::string& service,
-        std::span<const want> wants);
+        std::span<const placement_request> requests);
     /// @return When each of the concurrent loads from the store ends, earliest
     ///         first. An unused one ends now.
     std::vector<instant>
-    store_slots(const round& current, const std::string& service) const;
+    store_slots(const planning_round& round, const std::string& service) const;
     /// @return Number of loads from the store that may run concurrently.
-    std::size_t most_store_loads(std::size_t engines) const;
-    void reserve(round& current, const want& what) const;
+    std::size_t max_store_loads(std::size_t engines) const;
+    void reserve_engine(
+        planning_round& round, const placement_request& request) const;
     /// Changes the order into an unload of the least recently used idle
     /// adapter.
     /// @return Whether there is an idle adapter.
     bool unload_adapter(
-        const round& current,
+        const planning_round& round,
         const engine_state& engine,
         swap_order& order) const;
     /// @return Engines that may load from the store now; empty: none.
-    std::optional<sources> store_allows(const round& current, const want& what);
-    bool copied_anywhere(const round& current, const want& what) const;
-    const model_sum& sum_of(const round& current, std::string_view key) const;
+    std::optional<load_targets> store_load_targets(
+        const planning_round& round, const placement_request& request);
+    bool has_any_copy(
+        const planning_round& round, const placement_request& request) const;
+    const model_totals&
+    totals_of(const planning_round& round, std::string_view key) const;
 
     options settings;
-    load_ceiling ceiling;
-    departure_meter departures;
-    std::vector<load_outlook> expected;
-    instant copies_counted;
+    load_ceiling store_limiter;
+    departure_meter engine_loss;
+    std::vector<load_outlook> forecasts;
+    instant copies_counted_at;
 };
 
 } // namespace roseworks
--- a/tests/unit/swapping/swap_fixture.hpp
+++ b/tests/unit/swapping/swap_fixture.hpp
@@ -62,7 +62,7 @@
     /// Adds an engine whose report has been read.
     void engine(
         const std::string& id,
-        const std::vector<std::string>& held,
+        const std::vector<std::string>& loaded,
         std::vector<std::string> on_disk,
         instant now)
     {
@@ -71,19 +71,19 @@
         entry.service = "llm";
         entry.address = "10.0.0.1:80";
         this->engines.listed(entry);
-        this->examine(id, held, std::move(on_disk), 0, now);
+        this->examine(id, loaded, std::move(on_disk), 0, now);
     }
 
     void examine(
         const std::string& id,
-        const std::vector<std::string>& held,
+        const std::vector<std::string>& loaded,
         std::vector<std::string> on_disk,
         std::uint64_t orders_taken,
         instant now)
     {
         holdings_report report;
         report.orders_taken = orders_taken;
-        for (const std::string& model : held)
+        for (const std::string& model : loaded)
             report.holdings.resident.push_back({model, {}});
         report.holdings.on_disk = std::move(on_disk);
         this->engines.reported(id, report, now);
@@ -97,15 +97,15 @@
         const std::string& router = "r1",
         std::uint32_t waiting = 1)
     {
-        router_word word;
-        word.router = router;
-        word.sequence = ++this->sequence;
-        word.needs = {
+        router_word report;
+        report.router = router;
+        report.sequence = ++this->sequence;
+        report.needs = {
             {servable_key("llm", servable),
              waiting,
              objective_in.count(),
              duration(objective_in + 8s).count()}};
-        this->needs.heard(word, now);
+        this->needs.heard(report, now);
     }
 
     /// Reports requests that router `r1` runs on an engine.
@@ -115,11 +115,11 @@
         std::uint32_t running,
         instant now)
     {
-        router_word word;
-        word.router = "r1";
-        word.sequence = ++this->sequence;
-        word.uses = {{servable_key("llm", servable), engine, running, 1}};
-        this->needs.heard(word, now);
+        router_word report;
+        report.router = "r1";
+        report.sequence = ++this->sequence;
+        report.uses = {{servable_key("llm", servable), engine, running, 1}};
+        this->needs.heard(report, now);
     }
 
     std::vector<swap_order> plan(instant now)
--- a/tests/unit/swapping/test_engine_book.cpp
+++ b/tests/unit/swapping/test_engine_book.cpp
@@ -29,7 +29,7 @@
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engines.sent("e1", load_of("m1"), at(1s));
-    cr_assert_not(test.engines.find("e1")->free(at(1s)));
+    cr_assert_not(test.engines.find("e1")->accepts_orders(at(1s)));
     test.engines.answered("e1", command_end::accepted, at(1s));
     cr_assert(test.engines.advance(at(1s + 799ms)).empty());
     const auto done = test.engines.advance(at(1s + 800ms));
@@ -37,7 +37,7 @@
     cr_assert_eq(done[0].servable, "llm/m1");
     cr_assert_not_null(test.engines.find("e1")->find("m1"));
     cr_assert_eq(test.engines.find("e1")->orders_taken, 1);
-    cr_assert(test.engines.find("e1")->free(at(1s + 800ms)));
+    cr_assert(test.engines.find("e1")->accepts_orders(at(1s + 800ms)));
 }
 
 Test(engine_book, a_model_is_removed_when_its_unload_is_sent)
@@ -61,8 +61,8 @@
         cr_assert_not(test.engines.answered("e1", how, at(1s)));
         cr_assert_not_null(test.engines.find("e1")->find("m1"));
         cr_assert_eq(test.engines.find("e1")->orders_taken, 0);
-        cr_assert_not(test.engines.find("e1")->free(at(1s)));
-        cr_assert(test.engines.find("e1")->free(at(1s + 50ms)));
+        cr_assert_not(test.engines.find("e1")->accepts_orders(at(1s)));
+        cr_assert(test.engines.find("e1")->accepts_orders(at(1s + 50ms)));
     }
 }
 
@@ -77,10 +77,10 @@
     const engine_state* engine = test.engines.find("e1");
     cr_assert_not_null(engine->find("m1"));
     cr_assert_not(engine->reachable);
-    cr_assert_not(engine->free(at(10s)));
+    cr_assert_not(engine->accepts_orders(at(10s)));
     test.examine("e1", {"m1"}, {"m1"}, 0, at(11s));
     cr_assert(engine->reachable);
-    cr_assert(engine->free(at(11s)));
+    cr_assert(engine->accepts_orders(at(11s)));
 }
 
 Test(engine_book, a_pending_load_on_an_unreachable_engine_is_dropped)
@@ -105,7 +105,7 @@
             test.engines.answered("e1", command_end::out_of_step, at(1s)),
             last);
     }
-    cr_assert_not(test.engines.find("e1")->free(at(10s)));
+    cr_assert_not(test.engines.find("e1")->accepts_orders(at(10s)));
 }
 
 Test(engine_book, an_order_that_failed_or_is_unknown_requires_a_report)
@@ -120,9 +120,9 @@
         test.engine("e1", {}, {"m1"}, at(0s));
         test.engines.sent("e1", load_of("m1"), at(1s));
         cr_assert(test.engines.answered("e1", how, at(1s)));
-        cr_assert_not(test.engines.find("e1")->free(at(10s)));
+        cr_assert_not(test.engines.find("e1")->accepts_orders(at(10s)));
         test.examine("e1", {"m1"}, {"m1"}, 1, at(2s));
-        cr_assert(test.engines.find("e1")->free(at(2s)));
+        cr_assert(test.engines.find("e1")->accepts_orders(at(2s)));
     }
 }
 
@@ -130,11 +130,11 @@
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
-    test.engines.distrust("e1");
+    test.engines.mark_unconfirmed("e1");
     holdings_report report;
     report.busy = true;
     test.engines.reported("e1", report, at(1s));
-    cr_assert_not(test.engines.find("e1")->free(at(2s)));
+    cr_assert_not(test.engines.find("e1")->accepts_orders(at(2s)));
 }
 
 /// Guards against two owners that send orders to one engine alternately within
@@ -148,8 +148,8 @@
     test.engines.advance(at(2s));
     test.engines.take_over(3s, false);
     test.examine("e1", {"m2"}, {"m1"}, 3, at(2s + 500ms));
-    cr_assert_not(test.engines.find("e1")->free(at(3s + 999ms)));
-    cr_assert(test.engines.find("e1")->free(at(4s)));
+    cr_assert_not(test.engines.find("e1")->accepts_orders(at(3s + 999ms)));
+    cr_assert(test.engines.find("e1")->accepts_orders(at(4s)));
 }
 
 Test(engine_book, an_engine_without_another_owners_orders_does_not_wait)
@@ -161,10 +161,10 @@
     test.engines.advance(at(2s));
     test.engines.take_over(3s, false);
     cr_assert_not(
-        test.engines.find("e1")->free(at(2s)),
+        test.engines.find("e1")->accepts_orders(at(2s)),
         "its report has not been read yet");
     test.examine("e1", {"m1"}, {"m1"}, 1, at(2s + 500ms));
-    cr_assert(test.engines.find("e1")->free(at(2s + 500ms)));
+    cr_assert(test.engines.find("e1")->accepts_orders(at(2s + 500ms)));
 }
 
 Test(engine_book, a_restarted_engine_requires_a_report)
@@ -175,8 +175,8 @@
     cr_assert_not(test.engines.listed(entry));
     entry.born_ms = 77;
     cr_assert(test.engines.listed(entry));
-    cr_assert(test.engines.find("e1")->held.empty());
-    cr_assert_not(test.engines.find("e1")->free(at(2s)));
+    cr_assert(test.engines.find("e1")->loaded_models.empty());
+    cr_assert_not(test.engines.find("e1")->accepts_orders(at(2s)));
 }
 
 Test(engine_book, host_memory_keeps_the_most_recently_used_models)
@@ -192,9 +192,9 @@
         test.engines.advance(now);
     }
     const engine_state* engine = test.engines.find("e1");
-    cr_assert(engine->source_of("m0") == weight_source::disk);
-    cr_assert(engine->source_of("m1") == weight_source::memory);
-    cr_assert(engine->source_of("m2") == weight_source::memory);
+    cr_assert(engine->weight_source_of("m0") == weight_source::disk);
+    cr_assert(engine->weight_source_of("m1") == weight_source::memory);
+    cr_assert(engine->weight_source_of("m2") == weight_source::memory);
 }
 
 /// An engine with eight adapter slots was ordered to load a ninth adapter while
@@ -215,7 +215,8 @@
     cr_assert(test.engines.answered("e1", command_end::accepted, at(3s)));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 1);
     cr_assert_not(
-        test.engines.find("e1")->free(at(9s)), "its report has to be read");
+        test.engines.find("e1")->accepts_orders(at(9s)),
+        "its report has to be read");
 }
 
 Test(engine_book, an_idle_adapter_is_unloaded_at_once)
--- a/tests/unit/swapping/test_load_ceiling.cpp
+++ b/tests/unit/swapping/test_load_ceiling.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-constexpr double plenty = 100; // loads per second; never the limit here
+constexpr double unlimited_rate = 100; // loads per second; never the limit here
 constexpr instant start(100s);
 
 /// @return Number of loads that may run concurrently.
-std::size_t most_at_once(load_ceiling& ceiling)
+std::size_t concurrency_limit(load_ceiling& limiter)
 {
     std::size_t running = 0;
-    while (ceiling.allows(plenty, running, start))
+    while (limiter.may_start(unlimited_rate, running, start))
         ++running;
     return running;
 }
@@ -26,29 +26,30 @@
 /// 24 s each.
 Test(load_ceiling, slowed_loads_reduce_the_concurrency)
 {
-    load_ceiling ceiling{load_ceiling::options()};
-    cr_assert_eq(most_at_once(ceiling), 4);
-    ceiling.ended(24s, 6s, 4);
-    cr_assert_eq(most_at_once(ceiling), 1);
+    load_ceiling limiter{load_ceiling::options()};
+    cr_assert_eq(concurrency_limit(limiter), 4);
+    limiter.load_ended(24s, 6s, 4);
+    cr_assert_eq(concurrency_limit(limiter), 1);
 }
 
 Test(load_ceiling, loads_at_full_speed_raise_the_concurrency)
 {
-    load_ceiling ceiling{load_ceiling::options()};
-    ceiling.ended(6200ms, 6s, 4);
-    cr_assert_eq(most_at_once(ceiling), 5);
-    ceiling.ended(6200ms, 6s, 3); // too few concurrent loads to raise the limit
-    cr_assert_eq(most_at_once(ceiling), 5);
-    ceiling.ended(7500ms, 6s, 5);
-    cr_assert_eq(most_at_once(ceiling), 4);
+    load_ceiling limiter{load_ceiling::options()};
+    limiter.load_ended(6200ms, 6s, 4);
+    cr_assert_eq(concurrency_limit(limiter), 5);
+    limiter.load_ended(
+        6200ms, 6s, 3); // too few concurrent loads to raise the limit
+    cr_assert_eq(concurrency_limit(limiter), 5);
+    limiter.load_ended(7500ms, 6s, 5);
+    cr_assert_eq(concurrency_limit(limiter), 4);
 }
 
 Test(load_ceiling, loads_in_a_window_stay_within_the_rate_of_the_store)
 {
-    load_ceiling ceiling{load_ceiling::options()};
-    std::size_t begun = 0;
-    for (; ceiling.allows(1.6, 0, start); ++begun)
-        ceiling.began(start);
-    cr_assert_leq(begun, 8); // 1.6 x 5 s
-    cr_assert(ceiling.allows(1.6, 0, start + 5001ms));
+    load_ceiling limiter{load_ceiling::options()};
+    std::size_t started = 0;
+    for (; limiter.may_start(1.6, 0, start); ++started)
+        limiter.load_started(start);
+    cr_assert_leq(started, 8); // 1.6 x 5 s
+    cr_assert(limiter.may_start(1.6, 0, start + 5001ms));
 }
--- a/tests/unit/swapping/test_need_book.cpp
+++ b/tests/unit/swapping/test_need_book.cpp
@@ -10,7 +10,7 @@
     swap_fixture test(3);
     test.need("m1", 2s, at(0s), "r1", 2);
     test.need("m1", 1s, at(0s), "r2", 1);
-    const auto wanted = test.needs.wanted(at(0s));
+    const auto wanted = test.needs.waiting_servables(at(0s));
     cr_assert_eq(wanted.size(), 1);
     cr_assert_eq(wanted[0].waiting, 3);
     cr_assert_eq(
@@ -23,8 +23,8 @@
 {
     swap_fixture test(3);
     test.need("m1", 2s, at(0s));
-    cr_assert_eq(test.needs.wanted(at(800ms)).size(), 1);
-    cr_assert(test.needs.wanted(at(801ms)).empty());
+    cr_assert_eq(test.needs.waiting_servables(at(800ms)).size(), 1);
+    cr_assert(test.needs.waiting_servables(at(801ms)).empty());
 }
 
 Test(need_book, an_outdated_report_is_ignored)
@@ -36,7 +36,7 @@
     late.sequence = 0;
     late.needs = {{"llm/m1", 9, 0, 0}};
     cr_assert_not(test.needs.heard(late, at(0s)));
-    cr_assert_eq(test.needs.wanted(at(0s))[0].waiting, 1);
+    cr_assert_eq(test.needs.waiting_servables(at(0s))[0].waiting, 1);
 }
 
 Test(need_book, the_report_of_a_restarted_router_is_accepted)
@@ -44,13 +44,13 @@
     swap_fixture test(3);
     test.sequence = 1000;
     test.need("m1", 2s, at(0s));
-    router_word word;
-    word.router = "r1";
-    word.run = 1;
-    word.sequence = 1;
-    word.needs = {{"llm/m1", 4, 100, 1'000'000}};
-    cr_assert(test.needs.heard(word, at(0s)));
-    cr_assert_eq(test.needs.wanted(at(0s))[0].waiting, 4);
+    router_word report;
+    report.router = "r1";
+    report.run = 1;
+    report.sequence = 1;
+    report.needs = {{"llm/m1", 4, 100, 1'000'000}};
+    cr_assert(test.needs.heard(report, at(0s)));
+    cr_assert_eq(test.needs.waiting_servables(at(0s))[0].waiting, 4);
 }
 
 /// A router takes the number of its run from the VM's wall clock. If the clock
@@ -59,19 +59,19 @@
 Test(need_book, a_run_with_a_lower_number_is_accepted_after_the_other_is_silent)
 {
     swap_fixture test(3);
-    router_word word;
-    word.router = "r1";
-    word.run = 9;
-    word.sequence = 1;
-    cr_assert(test.needs.heard(word, at(0s)));
-    word.run = 4;
-    word.needs = {{"llm/m1", 1, 2'000'000, 9'000'000}};
+    router_word report;
+    report.router = "r1";
+    report.run = 9;
+    report.sequence = 1;
+    cr_assert(test.needs.heard(report, at(0s)));
+    report.run = 4;
+    report.needs = {{"llm/m1", 1, 2'000'000, 9'000'000}};
     cr_assert_not(
-        test.needs.heard(word, at(100ms))); // as if from the previous run
-    cr_assert(test.needs.heard(word, at(3s)));
-    cr_assert_eq(test.needs.wanted(at(3s)).size(), 1);
-    ++word.sequence;
-    cr_assert(test.needs.heard(word, at(3s + 100ms)));
+        test.needs.heard(report, at(100ms))); // as if from the previous run
+    cr_assert(test.needs.heard(report, at(3s)));
+    cr_assert_eq(test.needs.waiting_servables(at(3s)).size(), 1);
+    ++report.sequence;
+    cr_assert(test.needs.heard(report, at(3s + 100ms)));
 }
 
 Test(need_book, a_report_of_none_waiting_removes_the_entry)
@@ -79,7 +79,7 @@
     swap_fixture test(3);
     test.need("m1", 2s, at(0s), "r1", 2);
     test.need("m1", 2s, at(0s), "r1", 0);
-    cr_assert(test.needs.wanted(at(0s)).empty());
+    cr_assert(test.needs.waiting_servables(at(0s)).empty());
 }
 
 Test(need_book, running_requests_of_silent_routers_expire)
--- a/tests/unit/swapping/test_rare_model_burst.cpp
+++ b/tests/unit/swapping/test_rare_model_burst.cpp
@@ -91,13 +91,13 @@
 
     void tell_needs(instant now)
     {
-        router_word word;
-        word.router = "r1";
-        word.sequence = ++this->test.sequence;
+        router_word report;
+        report.router = "r1";
+        report.sequence = ++this->test.sequence;
         for (const auto& [model, objectives] : this->waiting)
         {
             const auto earliest = std::ranges::min(objectives);
-            word.needs.push_back(
+            report.needs.push_back(
                 {servable_key("llm", model),
                  static_cast<std::uint32_t>(objectives.size()),
                  earliest > now ? duration(earliest - now).count()
@@ -108,31 +108,31 @@
         for (const run& one : this->runs)
             ++running[{one.model, one.engine}];
         for (const auto& [place, count] : running)
-            word.uses.push_back(
+            report.uses.push_back(
                 {servable_key("llm", place.first), place.second, count, 0});
         for (const auto& [place, count] : this->told)
         {
             if (!running.contains(place))
-                word.uses.push_back(
+                report.uses.push_back(
                     {servable_key("llm", place.first), place.second, 0, 0});
         }
         this->told = running;
-        this->test.needs.heard(word, now);
+        this->test.needs.heard(report, now);
     }
 
     void start_runs(instant now)
     {
         for (const auto& [id, engine] : this->test.engines.all())
         {
-            for (const held_model& held : engine.held)
+            for (const loaded_model& loaded : engine.loaded_models)
             {
-                const auto found = this->waiting.find(held.name);
+                const auto found = this->waiting.find(loaded.name);
                 if (found == this->waiting.end())
                     continue;
                 for (const instant limit : found->second)
                 {
                     this->in_time += now <= limit ? 1 : 0;
-                    this->runs.push_back({held.name, id, now + run_time});
+                    this->runs.push_back({loaded.name, id, now + run_time});
                 }
                 this->waiting.erase(found);
             }
