--- a/bench/swapping/bench_swapping.cpp
+++ b/bench/swapping/bench_swapping.cpp
@@ -50,12 +50,12 @@
 /// Adds engines that each have three models loaded, two of them with running
 /// requests, and ten models on disk.
 void fill(
-    engine_book& engines,
-    need_book& needs,
+    engine_tracker& engines,
+    demand_tracker& needs,
     std::size_t count,
     std::size_t models)
 {
-    router_word demand_report;
+    router_report demand_report;
     demand_report.router = "r";
     demand_report.sequence = 1;
     for (std::size_t i = 0; i < count; ++i)
@@ -64,7 +64,7 @@
         entry.id = "engine-" + std::to_string(i);
         entry.service = "llm";
         entry.address = "10.0.0.1:80";
-        engines.listed(entry);
+        engines.update_entry(entry);
         holdings_report report;
         for (std::size_t held = 0; held < 3; ++held)
         {
@@ -79,27 +79,27 @@
         for (std::size_t copy = 0; copy < 10; ++copy)
             report.holdings.on_disk.push_back(
                 model_name((7 * i + 11 * copy) % models));
-        engines.reported(entry.id, report, instant());
+        engines.apply_engine_report(entry.id, report, instant());
     }
-    needs.heard(demand_report, instant(10s));
+    needs.apply_router_report(demand_report, instant(10s));
 }
 
-void measure(std::size_t count, std::size_t models, std::size_t wanted)
+void measure(std::size_t count, std::size_t models, std::size_t awaited_models)
 {
-    engine_book engines{engine_book::options()};
-    need_book needs{need_book::options()};
-    engines.configured(make_deployment(models));
+    engine_tracker engines{engine_tracker::options()};
+    demand_tracker needs{demand_tracker::options()};
+    engines.set_configuration(make_deployment(models));
     fill(engines, needs, count, models);
-    router_word demand_report;
+    router_report demand_report;
     demand_report.router = "r";
     demand_report.sequence = 2;
-    for (std::size_t i = 0; i < wanted; ++i)
+    for (std::size_t i = 0; i < awaited_models; ++i)
         demand_report.needs.push_back(
             {servable_key("llm", model_name((3 * count + i) % models)),
              1,
              2'000'000,
              9'000'000});
-    needs.heard(demand_report, instant(10s));
+    needs.apply_router_report(demand_report, instant(10s));
     swap_planner planner{swap_planner::options()};
     std::size_t orders = 0;
     const auto start = std::chrono::steady_clock::now();
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -111,15 +111,15 @@
     switch (static_cast<word_kind>(content->front()))
     {
     case word_kind::router:
-        if (router_word word; this->decode(body, word))
+        if (router_report word; this->decode(body, word))
             this->listener->router_word_heard(word);
         return;
     case word_kind::owner:
-        if (owner_word word; this->decode(body, word))
+        if (owner_announcement word; this->decode(body, word))
             this->listener->owner_word_heard(word, this->sender_text());
         return;
     case word_kind::broken:
-        if (break_word word; this->decode(body, word))
+        if (connection_loss_report word; this->decode(body, word))
             this->listener->break_word_heard(word);
         return;
     case word_kind::directory:
@@ -194,11 +194,11 @@
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const router_word& word)
+    std::span<const std::string> addresses, const router_report& word)
 {
     const auto needs = cut(word.needs, need_bytes, word_room);
     const auto uses = cut(word.uses, use_bytes, word_room);
-    router_word part = word;
+    router_report part = word;
     part.needs.clear();
     part.uses.clear();
     for (const auto& some : needs)
@@ -206,7 +206,7 @@
         part.needs = some;
         this->send_one(addresses, word_kind::router, part);
         ++part.sequence;
-        part.unreached.clear(); // told once
+        part.unreachable_engines.clear(); // told once
     }
     part.needs.clear();
     for (const auto& some : uses)
@@ -214,16 +214,16 @@
         part.uses = some;
         this->send_one(addresses, word_kind::router, part);
         ++part.sequence;
-        part.unreached.clear();
+        part.unreachable_engines.clear();
     }
     if (needs.empty() && uses.empty())
         this->send_one(addresses, word_kind::router, part);
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const owner_word& word)
+    std::span<const std::string> addresses, const owner_announcement& word)
 {
-    owner_word part = word;
+    owner_announcement part = word;
     part.engines.clear();
     for (const auto& some : cut(word.engines, engine_bytes, word_room))
     {
@@ -235,7 +235,7 @@
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const break_word& word)
+    std::span<const std::string> addresses, const connection_loss_report& word)
 {
     this->send_one(addresses, word_kind::broken, word);
 }
--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -47,12 +47,14 @@
         platform::byte_meter& meter);
 
     void start(gateway_peer_listener& listener) override;
-    void send(std::span<const std::string> addresses, const router_word& word)
-        override;
-    void send(std::span<const std::string> addresses, const owner_word& word)
-        override;
-    void send(std::span<const std::string> addresses, const break_word& word)
+    void send(std::span<const std::string> addresses, const router_report& word)
         override;
+    void send(
+        std::span<const std::string> addresses,
+        const owner_announcement& word) override;
+    void send(
+        std::span<const std::string> addresses,
+        const connection_loss_report& word) override;
     void send(
         std::span<const std::string> addresses,
         const directory_word& word) override;
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -110,7 +110,9 @@
           {
               return this->router_names();
           },
-          [this](const owner_word& word, std::span<const std::string> routers)
+          [this](
+              const owner_announcement& word,
+              std::span<const std::string> routers)
           {
               this->tell_routers(word, routers);
           }))
@@ -119,7 +121,7 @@
           wanted.vm.name,
           time,
           this->usage,
-          [this](router_word word)
+          [this](router_report word)
           {
               this->send_to_owner(std::move(word));
           })
@@ -188,7 +190,7 @@
 
 void gateway_control::arm_uses()
 {
-    this->uses_timer.expires_after(use_word_pause(this->alive));
+    this->uses_timer.expires_after(usage_report_interval(this->alive));
     this->uses_timer.async_wait(
         [this](const boost::system::error_code& error)
         {
@@ -202,7 +204,7 @@
         });
 }
 
-void gateway_control::send_to_owner(router_word word)
+void gateway_control::send_to_owner(router_report word)
 {
     if (!this->owner)
         return;
@@ -258,7 +260,7 @@
 }
 
 void gateway_control::tell_routers(
-    const owner_word& word, std::span<const std::string> routers)
+    const owner_announcement& word, std::span<const std::string> routers)
 {
     std::vector<std::string> addresses;
     for (const std::string& name : routers)
@@ -272,13 +274,13 @@
     this->peers->send(addresses, word);
 }
 
-void gateway_control::router_word_heard(const router_word& word)
+void gateway_control::router_word_heard(const router_report& word)
 {
     this->placement->word_heard(word);
 }
 
 void gateway_control::owner_word_heard(
-    const owner_word& word, std::string_view from)
+    const owner_announcement& word, std::string_view from)
 {
     this->placement->other_owner_heard(word.tenure);
     this->directory->another_owns(word.tenure);
@@ -286,29 +288,29 @@
 }
 
 void gateway_control::take_owner_word(
-    const owner_word& word, std::string_view from)
+    const owner_announcement& word, std::string_view from)
 {
     if (this->owner && word.tenure < this->owner->fence)
         return;
     const bool another = !this->owner || this->owner->name != word.owner;
     const instant now = this->clock.now();
-    if (word.leaves)
+    if (word.ownership_released)
     {
         this->owner_lost(now);
         return;
     }
     this->owner = {word.owner, std::string(from), word.tenure, now};
-    this->directory->owner_heard(!word.lapsed);
+    this->directory->owner_heard(!word.term_expired);
     this->alive = std::max<std::size_t>(word.routers, 1);
     for (const engine_residency& engine : word.engines)
         this->desk->residency_heard(engine);
-    for (const servable_outlook& one : word.outlooks)
+    for (const announced_load_forecast& one : word.load_forecasts)
         this->desk->outlook_heard(one.model, now + duration(one.ready_in_us));
     if (another)
         this->teller.tell_all();
 }
 
-void gateway_control::break_word_heard(const break_word& word)
+void gateway_control::break_word_heard(const connection_loss_report& word)
 {
     this->take_break(word);
 }
@@ -366,8 +368,8 @@
         {
             if (!this->desk->unreached(server))
                 return;
-            router_word word = this->teller.make_word();
-            word.unreached.push_back(server);
+            router_report word = this->teller.make_word();
+            word.unreachable_engines.push_back(server);
             this->send_to_owner(std::move(word));
         });
 }
@@ -379,14 +381,14 @@
         this->loop,
         [this, server, request]
         {
-            const break_word word{
+            const connection_loss_report word{
                 this->settings.vm.name, request.value, server};
             this->peers->send(this->other_addresses(), word);
             this->take_break(word);
         });
 }
 
-void gateway_control::take_break(const break_word& word)
+void gateway_control::take_break(const connection_loss_report& word)
 {
     this->crashes.broke(
         fingerprint(word.request), word.server, this->clock.now());
@@ -469,11 +471,11 @@
 {
     if (!this->owner || this->owner->name != this->settings.vm.name)
         return;
-    owner_word word;
+    owner_announcement word;
     word.owner = this->settings.vm.name;
     word.tenure = this->owner->fence;
     word.routers = static_cast<std::uint32_t>(this->alive);
-    word.leaves = true;
+    word.ownership_released = true;
     const std::vector<std::string> all = this->router_names();
     this->tell_routers(word, all);
 }
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -153,28 +153,28 @@
     void store_read(const directory_word& word) override;
 
     // gateway_peer_listener
-    void router_word_heard(const router_word& word) override;
-    void
-    owner_word_heard(const owner_word& word, std::string_view from) override;
-    void break_word_heard(const break_word& word) override;
+    void router_word_heard(const router_report& word) override;
+    void owner_word_heard(
+        const owner_announcement& word, std::string_view from) override;
+    void break_word_heard(const connection_loss_report& word) override;
     void directory_word_heard(const directory_word& word) override;
     void quota_ask_heard(const quota_ask& ask, std::string_view from) override;
     void quota_answer_heard(const quota_answer& answer) override;
     void server_limit_word_heard(const server_limit_word& word) override;
 
     void run();
-    void take_owner_word(const owner_word& word, std::string_view from);
-    void
-    tell_routers(const owner_word& word, std::span<const std::string> routers);
+    void take_owner_word(const owner_announcement& word, std::string_view from);
+    void tell_routers(
+        const owner_announcement& word, std::span<const std::string> routers);
     void arm_uses();
     void look_for_owner();
     void owner_lost(instant now);
-    void take_break(const break_word& word);
+    void take_break(const connection_loss_report& word);
     void server_lost(std::string_view server);
     std::vector<std::string> router_names() const;
     /// @return Of all routers but this one.
     std::vector<std::string> other_addresses() const;
-    void send_to_owner(router_word word);
+    void send_to_owner(router_report word);
 
     /// Who owns placement, as last heard.
     struct known_owner
--- a/src/app/gateway/gateway_options.cpp
+++ b/src/app/gateway/gateway_options.cpp
@@ -42,8 +42,8 @@
     made.fences_checked = settings.bounds.fences_checked;
     made.words.spare_bytes_per_second =
         settings.vm.link_mbps * bytes_per_mbit * words_share_of_link;
-    made.planner.store.window = settings.bounds.load_window;
-    made.planner.store.factor = settings.bounds.load_factor;
+    made.planner.store_limiter.window = settings.bounds.load_window;
+    made.planner.store_limiter.rate_factor = settings.bounds.load_factor;
     return made;
 }
 
--- a/src/app/gateway/need_teller.cpp
+++ b/src/app/gateway/need_teller.cpp
@@ -87,7 +87,7 @@
             this->ended_armed = false;
             if (error)
                 return;
-            router_word word = this->make_word();
+            router_report word = this->make_word();
             word.uses = this->usage.take_ended();
             if (!word.uses.empty())
                 this->send(std::move(word));
@@ -97,7 +97,7 @@
 void need_teller::tick()
 {
     this->tell_needs(this->clock.now() - this->repeated >= needs_repetition);
-    router_word word = this->make_word();
+    router_report word = this->make_word();
     word.uses = this->usage.take_all();
     this->send(std::move(word));
 }
@@ -107,14 +107,14 @@
     this->tell_needs(true);
 }
 
-router_word need_teller::make_word()
+router_report need_teller::make_word()
 {
     // Room for the parts that a long word is sent in.
     constexpr std::uint64_t parts = 100;
     const auto micros = static_cast<std::uint64_t>(
         this->clock.now().time_since_epoch().count());
     this->last_sequence = std::max(this->last_sequence + parts, micros);
-    router_word word;
+    router_report word;
     word.router = this->name;
     word.run = this->run_number;
     word.sequence = this->last_sequence;
@@ -135,7 +135,7 @@
 void need_teller::tell_needs(bool all)
 {
     const instant now = this->clock.now();
-    router_word word = this->make_word();
+    router_report word = this->make_word();
     for (auto& [servable, need] : this->waiting)
     {
         const bool over = now - need.heard > need_lifetime;
--- a/src/app/gateway/need_teller.hpp
+++ b/src/app/gateway/need_teller.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "app/gateway/usage_meter.hpp"
-#include "core/swapping/peer_words.hpp"
+#include "core/swapping/peer_messages.hpp"
 #include "ports/clock.hpp"
 
 #include <roseworks/dispatcher.hpp>
@@ -27,7 +27,7 @@
 {
 public:
     /// Sends a word to the owner, if there is one.
-    using sender = std::function<void(router_word)>;
+    using sender = std::function<void(router_report)>;
 
     need_teller(
         boost::asio::io_context& loop,
@@ -51,7 +51,7 @@
     void tell_all();
 
     /// @return A word without content, newer than all before.
-    router_word make_word();
+    router_report make_word();
 
 private:
     /// What waits here for a servable.
--- a/src/app/gateway/placement_desk.cpp
+++ b/src/app/gateway/placement_desk.cpp
@@ -126,7 +126,7 @@
 
 void placement_desk::configured(std::shared_ptr<const deployment> configuration)
 {
-    this->book.configured(std::move(configuration));
+    this->book.set_configuration(std::move(configuration));
     this->servers_changed();
 }
 
@@ -150,25 +150,25 @@
             gone.push_back(id);
     }
     for (const std::string& id : gone)
-        this->book.removed(id);
+        this->book.remove(id);
     for (const auto& [id, server] : this->view.servers())
     {
         const service_profile* service =
             this->view.config()->find_service(server.entry.service);
         if (service == nullptr || !service->engine || server.superseded)
             continue;
-        const bool anew = this->book.listed(server.entry);
+        const bool anew = this->book.update_entry(server.entry);
         if (anew && this->at_work)
             this->examine(id, milliseconds(0));
     }
-    this->book.limits_named(this->named_limits);
+    this->book.set_rate_limits(this->named_limits);
 }
 
 void placement_desk::limits_named(
     std::map<std::string, double, std::less<>> requests_a_second)
 {
     this->named_limits = std::move(requests_a_second);
-    this->book.limits_named(this->named_limits);
+    this->book.set_rate_limits(this->named_limits);
 }
 
 bool placement_desk::owns(instant now) const
@@ -238,21 +238,22 @@
     this->tenure.reset();
 }
 
-void placement_desk::word_heard(const router_word& word)
+void placement_desk::word_heard(const router_report& word)
 {
-    if (!this->needs.heard(word, this->clock.now()) || !this->at_work)
+    if (!this->needs.apply_router_report(word, this->clock.now()) ||
+        !this->at_work)
         return;
     // A need that is met already: its router hasn't heard of it.
     for (const servable_need& need : word.needs)
     {
         for (const auto& [id, engine] : this->book.all())
         {
-            if (need.waiting != 0 && engine.examined && !engine.entry.leaving &&
-                engine.holds(need.servable))
+            if (need.waiting != 0 && engine.state_confirmed &&
+                !engine.entry.leaving && engine.holds(need.servable))
                 this->words.needed_by(word.router, id);
         }
     }
-    for (const std::string& engine : word.unreached)
+    for (const std::string& engine : word.unreachable_engines)
         this->look_at(engine);
     if (!word.needs.empty())
         this->step();
@@ -263,9 +264,10 @@
     if (this->stopped || !this->at_work)
         return;
     const instant now = this->clock.now();
-    for (const finished_order& done : this->book.advance(now))
+    for (const finished_order& done : this->book.complete_due_orders(now))
         this->words.changed(done.engine, done.servable);
-    for (const std::string& engine : this->book.take_uncertain(now))
+    for (const std::string& engine :
+         this->book.take_unconfirmed_store_loads(now))
         this->examine(engine, milliseconds(0));
     this->needs.tick(now);
     const duration pause = std::clamp<duration>(
@@ -284,7 +286,7 @@
         for (const swap_order& order :
              this->planner.plan(this->book, this->needs, now))
             this->send(order);
-        this->words.foreseen(this->planner.outlooks());
+        this->words.foreseen(this->planner.load_forecasts());
     }
     this->arm_step();
 }
@@ -293,7 +295,7 @@
 {
     const instant now = this->clock.now();
     duration wait = step_interval;
-    if (const auto next = this->book.next_event())
+    if (const auto next = this->book.next_completion())
         wait = std::clamp<duration>(*next - now, duration(100), wait);
     this->arm_step_in(wait);
 }
@@ -341,7 +343,7 @@
     const auto* use =
         this->needs.find_use(order.engine, servable_of(*engine, order));
     pending.running = use != nullptr && use->running != 0;
-    this->book.sent(order.engine, std::move(pending), now);
+    this->book.order_sent(order.engine, std::move(pending), now);
     if (order.action == engine_action::unload)
         this->words.changed(order.engine, servable_of(*engine, order));
     this->send_command({this->last_order, order, std::move(command), 0});
@@ -412,7 +414,7 @@
     const bool taken = what.repeats != 0 && how == command_end::out_of_step;
     if (taken)
         how = command_end::unknown;
-    const bool unsure = this->book.answered(engine, how, now);
+    const bool unsure = this->book.order_answered(engine, how, now);
     if (how == command_end::wrong_server)
     {
         this->run_is_over(engine);
@@ -493,21 +495,21 @@
     const instant now = this->clock.now();
     if (state != nullptr && state->order && state->order->is_store_load())
         this->planner.store_load_ended(this->book, *state, now);
-    this->book.reported(engine, *report, now);
+    this->book.apply_engine_report(engine, *report, now);
     this->words.changed(engine, {});
     this->step();
 }
 
 void placement_desk::lost(const std::string& engine)
 {
-    this->book.unreached(engine);
+    this->book.mark_unreachable(engine);
     this->examine(engine, this->settings.examine_retry);
     this->step();
 }
 
 void placement_desk::run_is_over(const std::string& engine)
 {
-    this->book.run_over(engine);
+    this->book.mark_replaced(engine);
     this->examine(engine, this->settings.wrong_server_wait);
     this->step();
 }
@@ -515,7 +517,7 @@
 void placement_desk::look_at(const std::string& engine)
 {
     const engine_state* state = this->book.find(engine);
-    if (state == nullptr || !state->examined ||
+    if (state == nullptr || !state->state_confirmed ||
         !this->looking.insert(engine).second)
         return;
     this->commands.read_report(
--- a/src/app/gateway/placement_desk.hpp
+++ b/src/app/gateway/placement_desk.hpp
@@ -2,8 +2,8 @@
 
 #include "app/gateway/residency_teller.hpp"
 #include "core/serving/serving_view.hpp"
-#include "core/swapping/engine_book.hpp"
-#include "core/swapping/need_book.hpp"
+#include "core/swapping/demand_tracker.hpp"
+#include "core/swapping/engine_tracker.hpp"
 #include "core/swapping/swap_planner.hpp"
 #include "ports/clock.hpp"
 #include "ports/directory_port.hpp"
@@ -41,8 +41,8 @@
 public:
     struct options
     {
-        engine_book::options engines;
-        need_book::options needs;
+        engine_tracker::options engines;
+        demand_tracker::options needs;
         swap_planner::options planner;
         /// An owner that regains an engine waits so long from its own last
         /// order to it: two may not order it in turn.
@@ -97,7 +97,7 @@
     /// placement by now.
     void term_ended();
 
-    void word_heard(const router_word& word);
+    void word_heard(const router_report& word);
 
     /// Another owner with a higher fencing number was heard.
     void other_owner_heard(std::uint64_t fence);
@@ -109,7 +109,7 @@
         return this->tenure ? this->tenure->fence : 0;
     }
 
-    const engine_book& engines() const
+    const engine_tracker& engines() const
     {
         return this->book;
     }
@@ -154,9 +154,9 @@
     event_sink& events;
     engine_command_port& commands;
     const serving_view& view;
-    engine_book book;
+    engine_tracker book;
     std::map<std::string, double, std::less<>> named_limits; ///< by engine
-    need_book needs;
+    demand_tracker needs;
     swap_planner planner;
     residency_teller words;
     std::optional<placement_tenure> tenure;
--- a/src/app/gateway/residency_teller.cpp
+++ b/src/app/gateway/residency_teller.cpp
@@ -13,8 +13,8 @@
     options chosen,
     std::string own_name,
     const clock_port& time,
-    const engine_book& book,
-    const need_book& needed,
+    const engine_tracker& book,
+    const demand_tracker& needed,
     router_lister all,
     sender told)
     : settings(chosen)
@@ -60,12 +60,12 @@
     this->send(this->make_word(), this->routers());
 }
 
-void residency_teller::foreseen(std::span<const load_outlook> now_expected)
+void residency_teller::foreseen(std::span<const load_forecast> now_expected)
 {
-    const auto is_new = [this](const load_outlook& one)
+    const auto is_new = [this](const load_forecast& one)
     {
         return std::ranges::find(
-                   this->outlooks, one.model, &load_outlook::model) ==
+                   this->outlooks, one.model, &load_forecast::model) ==
                this->outlooks.end();
     };
     const bool news = std::ranges::any_of(now_expected, is_new);
@@ -128,19 +128,20 @@
     return true;
 }
 
-owner_word residency_teller::make_word() const
+owner_announcement residency_teller::make_word() const
 {
-    owner_word word;
+    owner_announcement word;
     word.owner = this->name;
     word.tenure = *this->fence;
-    word.lapsed = this->lapsed;
+    word.term_expired = this->lapsed;
     const instant now = this->clock.now();
-    word.routers = static_cast<std::uint32_t>(this->needs.routers(now));
-    for (const load_outlook& one : this->outlooks)
+    word.routers = static_cast<std::uint32_t>(this->needs.active_routers(now));
+    for (const load_forecast& one : this->outlooks)
     {
-        if (word.outlooks.size() == this->settings.most_outlooks)
+        if (word.load_forecasts.size() == this->settings.most_outlooks)
             break;
-        word.outlooks.push_back({one.model, duration(one.ready - now).count()});
+        word.load_forecasts.push_back(
+            {one.model, duration(one.ready - now).count()});
     }
     return word;
 }
@@ -156,11 +157,11 @@
         audiences[changed_engines].push_back(router);
     for (const auto& [changed_engines, audience] : audiences)
     {
-        owner_word word = this->make_word();
+        owner_announcement word = this->make_word();
         for (const std::string& id : changed_engines)
         {
             const engine_state* engine = this->engines.find(id);
-            if (engine != nullptr && engine->examined)
+            if (engine != nullptr && engine->state_confirmed)
                 word.engines.push_back(engine->residency(*this->fence));
         }
         if (!word.engines.empty())
@@ -186,7 +187,7 @@
     if (!this->fence)
         return;
     const std::vector<std::string> all = this->routers();
-    owner_word word = this->make_word();
+    owner_announcement word = this->make_word();
     const auto& known = this->engines.all();
     auto next = known.upper_bound(this->last_told);
     const std::size_t most =
@@ -198,7 +199,7 @@
         if (next == known.end())
             next = known.begin();
         this->last_told = next->first;
-        if (next->second.examined)
+        if (next->second.state_confirmed)
             word.engines.push_back(next->second.residency(*this->fence));
         ++next;
     }
--- a/src/app/gateway/residency_teller.hpp
+++ b/src/app/gateway/residency_teller.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "core/swapping/engine_book.hpp"
-#include "core/swapping/load_outlook.hpp"
-#include "core/swapping/need_book.hpp"
-#include "core/swapping/peer_words.hpp"
+#include "core/swapping/demand_tracker.hpp"
+#include "core/swapping/engine_tracker.hpp"
+#include "core/swapping/load_forecast.hpp"
+#include "core/swapping/peer_messages.hpp"
 #include "ports/clock.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -58,7 +58,7 @@
 
     /// Tells routers, perhaps this one among them, what engines hold.
     using sender = std::function<void(
-        const owner_word&, std::span<const std::string> routers)>;
+        const owner_announcement&, std::span<const std::string> routers)>;
     /// @return The names of all routers, this one included.
     using router_lister = std::function<std::vector<std::string>()>;
 
@@ -67,8 +67,8 @@
         options settings,
         std::string own_name,
         const clock_port& clock,
-        const engine_book& engines,
-        const need_book& needs,
+        const engine_tracker& engines,
+        const demand_tracker& needs,
         router_lister routers,
         sender send);
 
@@ -85,7 +85,7 @@
 
     /// When models that no engine has can be there. A model that wasn't among
     /// them before is told at once.
-    void foreseen(std::span<const load_outlook> outlooks);
+    void foreseen(std::span<const load_forecast> outlooks);
 
     /// What an engine holds has changed.
     /// @param servable Key of the model or adapter that it is about; empty:
@@ -100,7 +100,7 @@
     /// Takes the bytes of one engine's word to so many routers.
     /// @return Whether there were as many to spare.
     bool spare(std::size_t routers);
-    owner_word make_word() const;
+    owner_announcement make_word() const;
     void tell_changes();
     void arm_beacon();
     void tell_some();
@@ -108,15 +108,15 @@
     options settings;
     std::string name;
     const clock_port& clock;
-    const engine_book& engines;
-    const need_book& needs;
+    const engine_tracker& engines;
+    const demand_tracker& needs;
     router_lister routers;
     sender send;
     std::optional<std::uint64_t> fence; ///< empty: nothing is told
     std::map<std::string, std::set<std::string>> to_tell; ///< by router
     double spare_bytes = 0;
     instant spare_counted;
-    std::vector<load_outlook> outlooks;
+    std::vector<load_forecast> outlooks;
     std::string last_told; ///< engine that the last beacon ended with
     boost::asio::steady_timer pause_timer;
     boost::asio::steady_timer beacon_timer;
--- a/src/app/gateway/usage_meter.hpp
+++ b/src/app/gateway/usage_meter.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/swapping/peer_words.hpp"
+#include "core/swapping/peer_messages.hpp"
 
 #include <cstdint>
 #include <map>
@@ -37,7 +37,7 @@
     }
 
     /// @return What has stopped since the last call.
-    std::vector<servable_use> take_ended()
+    std::vector<servable_usage> take_ended()
     {
         return this->take(
             [](const row& one)
@@ -47,7 +47,7 @@
     }
 
     /// @return What runs, and what has stopped since the last call.
-    std::vector<servable_use> take_all()
+    std::vector<servable_usage> take_all()
     {
         return this->take(
             [](const row& one)
@@ -65,10 +65,10 @@
     };
 
     template <class Wanted>
-    std::vector<servable_use> take(Wanted wanted)
+    std::vector<servable_usage> take(Wanted wanted)
     {
         const std::lock_guard lock(this->mutex);
-        std::vector<servable_use> uses;
+        std::vector<servable_usage> uses;
         for (auto& [key, one] : this->rows)
         {
             if (!wanted(one))
--- a/src/core/swapping/demand_meter.cpp
+++ b/src/core/swapping/demand_estimator.cpp
@@ -1,4 +1,4 @@
-#include "core/swapping/demand_meter.hpp"
+#include "core/swapping/demand_estimator.hpp"
 
 #include "core/serving/servable_key.hpp"
 
@@ -8,12 +8,12 @@
 namespace roseworks
 {
 
-demand_meter::demand_meter(options chosen)
+demand_estimator::demand_estimator(options chosen)
     : settings(chosen)
 {
 }
 
-void demand_meter::add(
+void demand_estimator::add(
     std::string_view servable, std::uint32_t requests, instant now)
 {
     if (requests == 0)
@@ -24,21 +24,22 @@
     one.updated = now;
 }
 
-double demand_meter::decayed_count(const std::string& model, instant now) const
+double
+demand_estimator::decayed_count(const std::string& model, instant now) const
 {
     const auto found = this->rows.find(model);
     return found == this->rows.end() ? 0 : this->decayed(found->second, now);
 }
 
-double
-demand_meter::requests_per_second(const std::string& model, instant now) const
+double demand_estimator::requests_per_second(
+    const std::string& model, instant now) const
 {
     const double half_life =
         std::chrono::duration<double>(this->settings.half_life).count();
     return this->decayed_count(model, now) * std::numbers::ln2 / half_life;
 }
 
-void demand_meter::tick(instant now)
+void demand_estimator::tick(instant now)
 {
     /// A single request decays to this after about seven half-lives.
     constexpr double negligible = 0.01;
@@ -50,7 +51,7 @@
         });
 }
 
-double demand_meter::decayed(const row& counter, instant now) const
+double demand_estimator::decayed(const row& counter, instant now) const
 {
     const auto elapsed = static_cast<double>((now - counter.updated).count());
     const auto half = static_cast<double>(this->settings.half_life.count());
--- a/src/core/swapping/demand_meter.hpp
+++ b/src/core/swapping/demand_estimator.hpp
@@ -15,7 +15,7 @@
     A request's weight halves after each half-life. The estimate only guides
     decisions; correctness doesn't depend on it.
 */
-class demand_meter
+class demand_estimator
 {
 public:
     struct options
@@ -25,7 +25,7 @@
         duration half_life = std::chrono::seconds(30);
     };
 
-    explicit demand_meter(options settings);
+    explicit demand_estimator(options settings);
 
     /// Counts requests.
     /// @param servable Key of the model or of one of its adapters.
--- a/src/core/swapping/need_book.cpp
+++ b/src/core/swapping/demand_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/swapping/need_book.hpp"
+#include "core/swapping/demand_tracker.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -28,14 +28,14 @@
 
 } // namespace
 
-need_book::need_book(options chosen)
+demand_tracker::demand_tracker(options chosen)
     : settings(chosen)
     , demand_estimate(chosen.demand)
 {
 }
 
 std::string
-need_book::use_key(std::string_view engine, std::string_view servable)
+demand_tracker::use_key(std::string_view engine, std::string_view servable)
 {
     std::string key(engine);
     key += key_separator;
@@ -43,7 +43,8 @@
     return key;
 }
 
-bool need_book::heard(const router_word& report, instant now)
+bool demand_tracker::apply_router_report(
+    const router_report& report, instant now)
 {
     router_row& row = this->rows[report.router];
     // A run's number is its start by wall clock, which may be set back. After
@@ -82,10 +83,10 @@
     return true;
 }
 
-void need_book::apply_uses(
-    router_row& row, const router_word& report, instant now)
+void demand_tracker::apply_uses(
+    router_row& row, const router_report& report, instant now)
 {
-    for (const servable_use& reported : report.uses)
+    for (const servable_usage& reported : report.uses)
     {
         const std::string key = use_key(reported.engine, reported.servable);
         use_row& before = row.uses[key];
@@ -96,13 +97,14 @@
     }
 }
 
-void need_book::update_running(
+void demand_tracker::update_running(
     const std::string& key, std::uint32_t before, std::uint32_t after)
 {
     this->uses[key].running += after - before;
 }
 
-std::vector<waiting_servable> need_book::waiting_servables(instant now) const
+std::vector<waiting_servable>
+demand_tracker::waiting_servables(instant now) const
 {
     std::unordered_map<std::string_view, waiting_servable> found;
     for (const auto& [router, row] : this->rows)
@@ -134,15 +136,15 @@
     return all;
 }
 
-const need_book::use*
-need_book::find_use(std::string_view engine, std::string_view servable) const
+const demand_tracker::use* demand_tracker::find_use(
+    std::string_view engine, std::string_view servable) const
 {
     const auto found = this->uses.find(use_key(engine, servable));
     return found == this->uses.end() ? nullptr : &found->second;
 }
 
 std::vector<std::string>
-need_book::routers_waiting(std::string_view servable, instant now) const
+demand_tracker::routers_waiting(std::string_view servable, instant now) const
 {
     std::vector<std::string> found;
     const std::string key(servable);
@@ -156,7 +158,7 @@
     return found;
 }
 
-std::vector<std::string> need_book::routers_using(
+std::vector<std::string> demand_tracker::routers_using(
     std::string_view engine, std::string_view servable) const
 {
     std::vector<std::string> found;
@@ -169,7 +171,7 @@
     return found;
 }
 
-std::size_t need_book::routers(instant now) const
+std::size_t demand_tracker::active_routers(instant now) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         this->rows,
@@ -180,7 +182,7 @@
         }));
 }
 
-void need_book::tick(instant now)
+void demand_tracker::tick(instant now)
 {
     this->demand_estimate.tick(now);
     for (auto& [router, row] : this->rows)
--- a/src/core/swapping/need_book.hpp
+++ b/src/core/swapping/demand_tracker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "core/swapping/demand_meter.hpp"
-#include "core/swapping/peer_words.hpp"
+#include "core/swapping/demand_estimator.hpp"
+#include "core/swapping/peer_messages.hpp"
 
 #include <roseworks/instant.hpp>
 
@@ -28,11 +28,11 @@
 
 /** The waiting and running requests of all routers, from their latest reports.
 
-    An entry is valid until the router reports it anew, and no longer than its
+    An entry is valid until the router reports it again, and no longer than its
     lifetime: routers repeat what still waits or runs. The data may be
     outdated and only guides decisions.
 */
-class need_book
+class demand_tracker
 {
 public:
     struct options
@@ -47,14 +47,14 @@
         /// Routers that used a servable on an engine within this time are told
         /// when it is unloaded there.
         duration recent_use = std::chrono::seconds(10);
-        demand_meter::options demand;
+        demand_estimator::options demand;
     };
 
-    explicit need_book(options settings);
+    explicit demand_tracker(options settings);
 
     /// Applies a router's report.
     /// @return False when the report is outdated; it is ignored then.
-    bool heard(const router_word& report, instant now);
+    bool apply_router_report(const router_report& report, instant now);
 
     /// @return All servables for which requests wait. Those that can still meet
     ///         an objective come first, by objective; the others follow, by
@@ -96,7 +96,7 @@
     routers_using(std::string_view engine, std::string_view servable) const;
 
     /// @return Number of routers that reported recently.
-    std::size_t routers(instant now) const;
+    std::size_t active_routers(instant now) const;
 
     /// Removes entries whose lifetime has ended.
     void tick(instant now);
@@ -128,14 +128,14 @@
 
     static std::string
     use_key(std::string_view engine, std::string_view servable);
-    void apply_uses(router_row& row, const router_word& report, instant now);
+    void apply_uses(router_row& row, const router_report& report, instant now);
     void update_running(
         const std::string& key, std::uint32_t before, std::uint32_t after);
 
     options settings;
     std::map<std::string, router_row, std::less<>> rows;
     std::unordered_map<std::string, use> uses; ///< by use_key
-    demand_meter demand_estimate;
+    demand_estimator demand_estimate;
 };
 
 } // namespace roseworks
--- a/src/core/swapping/departure_meter.cpp
+++ b/src/core/swapping/engine_loss_estimator.cpp
@@ -1,4 +1,4 @@
-#include "core/swapping/departure_meter.hpp"
+#include "core/swapping/engine_loss_estimator.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,12 +6,13 @@
 namespace roseworks
 {
 
-departure_meter::departure_meter(options chosen)
+engine_loss_estimator::engine_loss_estimator(options chosen)
     : settings(chosen)
 {
 }
 
-void departure_meter::update(std::set<std::string> now_present, instant now)
+void engine_loss_estimator::update(
+    std::set<std::string> now_present, instant now)
 {
     for (const std::string& id : this->present)
     {
@@ -24,7 +25,7 @@
         this->loss_times.pop_front();
 }
 
-double departure_meter::loss_probability() const
+double engine_loss_estimator::loss_probability() const
 {
     const double engine_count =
         static_cast<double>(std::max<std::size_t>(this->present.size(), 1));
--- a/src/core/swapping/departure_meter.hpp
+++ b/src/core/swapping/engine_loss_estimator.hpp
@@ -17,7 +17,7 @@
     with them. The estimate only guides decisions; correctness doesn't depend
     on it.
 */
-class departure_meter
+class engine_loss_estimator
 {
 public:
     struct options
@@ -29,7 +29,7 @@
         double min_probability = 0.02;
     };
 
-    explicit departure_meter(options settings);
+    explicit engine_loss_estimator(options settings);
 
     /// Counts the engines that are gone since the previous call as lost.
     /// @param present Ids of the engines that are listed and not leaving.
--- a/src/core/swapping/engine_book.cpp
+++ b/src/core/swapping/engine_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/swapping/engine_book.hpp"
+#include "core/swapping/engine_tracker.hpp"
 
 #include "core/serving/servable_key.hpp"
 
@@ -94,12 +94,12 @@
     return result;
 }
 
-engine_book::engine_book(options chosen)
+engine_tracker::engine_tracker(options chosen)
     : settings(chosen)
 {
 }
 
-void engine_book::configured(std::shared_ptr<const deployment> next)
+void engine_tracker::set_configuration(std::shared_ptr<const deployment> next)
 {
     this->config = std::move(next);
     for (auto& [id, engine] : this->engines_by_id)
@@ -116,7 +116,7 @@
     }
 }
 
-bool engine_book::listed(const server_entry& entry)
+bool engine_tracker::update_entry(const server_entry& entry)
 {
     const auto found = this->engines_by_id.find(entry.id);
     if (found == this->engines_by_id.end())
@@ -139,19 +139,19 @@
         engine.not_before = not_before;
     }
     engine.entry = entry;
-    if (!engine.examined)
+    if (!engine.state_confirmed)
         set_local_copies(engine, entry.holdings);
     return restarted;
 }
 
-void engine_book::removed(std::string_view id)
+void engine_tracker::remove(std::string_view id)
 {
     const auto found = this->engines_by_id.find(id);
     if (found != this->engines_by_id.end())
         this->engines_by_id.erase(found);
 }
 
-void engine_book::take_over(duration new_lease, bool another_owned)
+void engine_tracker::take_over(duration new_lease, bool another_owned)
 {
     this->lease = new_lease;
     for (auto& [id, engine] : this->engines_by_id)
@@ -159,13 +159,13 @@
         if (another_owned && engine.last_order != instant::min())
             engine.not_before =
                 std::max(engine.not_before, engine.last_order + this->lease);
-        engine.examined = false;
+        engine.state_confirmed = false;
         engine.owner_changed = true;
         engine.order.reset();
     }
 }
 
-void engine_book::reported(
+void engine_tracker::apply_engine_report(
     std::string_view id, const holdings_report& report, instant now)
 {
     engine_state* engine = this->find_mutable(id);
@@ -199,12 +199,13 @@
     engine->orders_taken = report.orders_taken;
     set_local_copies(*engine, report.holdings);
     engine->order.reset();
-    engine->examined = true;
+    engine->state_confirmed = true;
     engine->reachable = true;
     ++engine->revision;
 }
 
-void engine_book::sent(std::string_view id, pending_order order, instant now)
+void engine_tracker::order_sent(
+    std::string_view id, pending_order order, instant now)
 {
     engine_state* engine = this->find_mutable(id);
     if (engine == nullptr)
@@ -225,7 +226,7 @@
         this->update_peak_store_loads();
 }
 
-void engine_book::update_peak_store_loads()
+void engine_tracker::update_peak_store_loads()
 {
     std::vector<pending_order*> loads;
     for (auto& [id, engine] : this->engines_by_id)
@@ -237,7 +238,7 @@
         one->peak_store_loads = std::max(one->peak_store_loads, loads.size());
 }
 
-bool engine_book::answered(
+bool engine_tracker::order_answered(
     std::string_view id, command_end outcome, instant now)
 {
     engine_state* engine = this->find_mutable(id);
@@ -251,27 +252,27 @@
     {
     case command_end::accepted:
         ++engine->orders_taken;
-        order.done_at = now + this->order_time(*engine, order);
+        order.expected_completion = now + this->order_time(*engine, order);
         if (order.adapter.empty() || order.action == engine_action::load)
             return false;
         // Requests still use the adapter, so its slot isn't free yet.
         this->revert_order(*engine);
-        engine->examined = false;
+        engine->state_confirmed = false;
         return true;
     case command_end::already_so:
         // The engine counts an adapter's order even when it is done at once. It
         // doesn't count the load of a model that is loaded already.
         if (!order.adapter.empty())
             ++engine->orders_taken;
-        order.done_at = now;
+        order.expected_completion = now;
         return false;
     case command_end::not_sent:
-        this->unreached(id);
+        this->mark_unreachable(id);
         break;
     case command_end::withheld:
     case command_end::out_of_step:
         this->revert_order(*engine);
-        engine->examined =
+        engine->state_confirmed =
             engine->out_of_step_orders < this->settings.max_out_of_step_orders;
         break;
     case command_end::fenced_off:
@@ -279,17 +280,17 @@
     case command_end::refused:
     case command_end::unknown:
         this->revert_order(*engine);
-        engine->examined = false;
+        engine->state_confirmed = false;
         break;
     }
     engine->not_before =
-        std::max(engine->not_before, now + this->settings.step_wait);
-    return !engine->examined;
+        std::max(engine->not_before, now + this->settings.retry_pause);
+    return !engine->state_confirmed;
 }
 
 /// Reverts the effect of the pending order, which as far as known wasn't
 /// accepted.
-void engine_book::revert_order(engine_state& engine)
+void engine_tracker::revert_order(engine_state& engine)
 {
     const pending_order order = std::move(*engine.order);
     engine.order.reset();
@@ -305,13 +306,13 @@
     ++engine.revision;
 }
 
-std::vector<finished_order> engine_book::advance(instant now)
+std::vector<finished_order> engine_tracker::complete_due_orders(instant now)
 {
     std::vector<finished_order> done;
     for (auto& [id, engine] : this->engines_by_id)
     {
-        const bool ended = engine.order && engine.order->done_at &&
-                           *engine.order->done_at <= now &&
+        const bool ended = engine.order && engine.order->expected_completion &&
+                           *engine.order->expected_completion <= now &&
                            !engine.order->is_store_load();
         if (!ended)
             continue;
@@ -328,21 +329,23 @@
     return done;
 }
 
-std::vector<std::string> engine_book::take_uncertain(instant now)
+std::vector<std::string>
+engine_tracker::take_unconfirmed_store_loads(instant now)
 {
     std::vector<std::string> found;
     for (auto& [id, engine] : this->engines_by_id)
     {
         if (!engine.order || !engine.order->is_store_load() ||
-            !engine.order->done_at || *engine.order->done_at > now)
+            !engine.order->expected_completion ||
+            *engine.order->expected_completion > now)
             continue;
-        engine.order->done_at.reset();
+        engine.order->expected_completion.reset();
         found.push_back(id);
     }
     return found;
 }
 
-std::optional<instant> engine_book::next_event() const
+std::optional<instant> engine_tracker::next_completion() const
 {
     std::optional<instant> next;
     const auto consider = [&next](instant when)
@@ -351,24 +354,24 @@
     };
     for (const auto& [id, engine] : this->engines_by_id)
     {
-        if (engine.order && engine.order->done_at)
-            consider(*engine.order->done_at);
+        if (engine.order && engine.order->expected_completion)
+            consider(*engine.order->expected_completion);
     }
     return next;
 }
 
-void engine_book::unreached(std::string_view id)
+void engine_tracker::mark_unreachable(std::string_view id)
 {
     engine_state* engine = this->find_mutable(id);
     if (engine == nullptr)
         return;
     if (engine->order)
         this->revert_order(*engine);
-    engine->examined = false;
+    engine->state_confirmed = false;
     engine->reachable = false;
 }
 
-void engine_book::limits_named(
+void engine_tracker::set_rate_limits(
     const std::map<std::string, double, std::less<>>& all)
 {
     for (auto& [id, engine] : this->engines_by_id)
@@ -378,32 +381,33 @@
     }
 }
 
-void engine_book::run_over(std::string_view id)
+void engine_tracker::mark_replaced(std::string_view id)
 {
-    this->unreached(id);
+    this->mark_unreachable(id);
     if (engine_state* engine = this->find_mutable(id))
         engine->orders_taken = 0;
 }
 
-void engine_book::mark_unconfirmed(std::string_view id)
+void engine_tracker::mark_unconfirmed(std::string_view id)
 {
     if (engine_state* engine = this->find_mutable(id))
-        engine->examined = false;
+        engine->state_confirmed = false;
 }
 
-const engine_state* engine_book::find(std::string_view id) const
+const engine_state* engine_tracker::find(std::string_view id) const
 {
     const auto found = this->engines_by_id.find(id);
     return found == this->engines_by_id.end() ? nullptr : &found->second;
 }
 
-engine_state* engine_book::find_mutable(std::string_view id)
+engine_state* engine_tracker::find_mutable(std::string_view id)
 {
     const auto found = this->engines_by_id.find(id);
     return found == this->engines_by_id.end() ? nullptr : &found->second;
 }
 
-const engine_profile* engine_book::find_profile(std::string_view service) const
+const engine_profile*
+engine_tracker::find_profile(std::string_view service) const
 {
     if (!this->config)
         return nullptr;
@@ -411,8 +415,8 @@
     return found == nullptr || !found->engine ? nullptr : &*found->engine;
 }
 
-const model_profile*
-engine_book::find_model(std::string_view service, std::string_view model) const
+const model_profile* engine_tracker::find_model(
+    std::string_view service, std::string_view model) const
 {
     const engine_profile* profile = this->find_profile(service);
     if (profile == nullptr)
@@ -423,7 +427,7 @@
 }
 
 duration
-engine_book::load_time(const model_profile& model, weight_source from) const
+engine_tracker::load_time(const model_profile& model, weight_source from) const
 {
     switch (from)
     {
@@ -437,7 +441,7 @@
     return model.load_from_store;
 }
 
-duration engine_book::order_time(
+duration engine_tracker::order_time(
     const engine_state& engine, const pending_order& order) const
 {
     if (!order.adapter.empty())
@@ -452,7 +456,7 @@
                             : this->load_time(*model, order.source);
 }
 
-void engine_book::apply_order(
+void engine_tracker::apply_order(
     engine_state& engine, const pending_order& order, instant now)
 {
     if (!order.adapter.empty())
@@ -468,7 +472,7 @@
             });
 }
 
-void engine_book::apply_adapter_order(
+void engine_tracker::apply_adapter_order(
     engine_state& engine, const pending_order& order, instant now)
 {
     loaded_model* model = engine.find(order.model);
@@ -484,7 +488,7 @@
         model->adapters.push_back({order.adapter, now});
 }
 
-void engine_book::apply_load(
+void engine_tracker::apply_load(
     engine_state& engine, const pending_order& order, instant now)
 {
     if (engine.find(order.model) == nullptr)
@@ -505,7 +509,7 @@
     this->cache_in_host_memory(engine, order.model);
 }
 
-void engine_book::cache_in_host_memory(
+void engine_tracker::cache_in_host_memory(
     engine_state& engine, const std::string& model)
 {
     std::erase(engine.in_memory, model);
--- a/src/core/swapping/engine_book.hpp
+++ b/src/core/swapping/engine_tracker.hpp
@@ -77,9 +77,9 @@
     instant sent;
     /// Expected completion. Empty until the order is answered, and again when
     /// only the engine's report can show whether a load from the store ended.
-    std::optional<instant> done_at;
-    std::optional<loaded_model>
-        unloaded_model;   ///< model that an unload removes
+    std::optional<instant> expected_completion;
+    /// Model that an unload removes.
+    std::optional<loaded_model> unloaded_model;
     bool running = false; ///< requests ran on the model that is unloaded
     /// Peak number of concurrent loads from the store since it was sent.
     std::size_t peak_store_loads = 1;
@@ -96,8 +96,8 @@
 struct engine_state
 {
     server_entry entry;
-    bool examined = false; ///< the state is confirmed by a report
-    bool reachable = true; ///< result of the last attempt
+    bool state_confirmed = false; ///< the state is confirmed by a report
+    bool reachable = true;        ///< result of the last attempt
     double rate_limit = 0; ///< requests per second; 0: the engine named none
     std::uint64_t orders_taken = 0; ///< accepted since the engine's start
     std::vector<loaded_model> loaded_models;
@@ -113,7 +113,7 @@
     /// @return Whether an order may be sent.
     bool accepts_orders(instant now) const
     {
-        return this->examined && !this->entry.leaving && !this->order &&
+        return this->state_confirmed && !this->entry.leaving && !this->order &&
                now >= this->not_before;
     }
 
@@ -149,7 +149,7 @@
     lag. After an unexpected answer, or none, the engine's state is unconfirmed
     until a report has been read.
 */
-class engine_book
+class engine_tracker
 {
 public:
     using engines = std::map<std::string, engine_state, std::less<>>;
@@ -169,24 +169,24 @@
         /// Pause before another order after one that failed or whose outcome is
         /// unknown; for example one that came before the engine had finished
         /// its previous order.
-        duration step_wait = std::chrono::milliseconds(50);
+        duration retry_pause = std::chrono::milliseconds(50);
         /// Consecutive orders out of step after which the engine's report is
         /// read.
         std::uint32_t max_out_of_step_orders = 3;
     };
 
-    explicit engine_book(options settings);
+    explicit engine_tracker(options settings);
 
     /// Sets the configuration, which contains the models' sizes and load times.
-    void configured(std::shared_ptr<const deployment> next);
+    void set_configuration(std::shared_ptr<const deployment> next);
 
     /// Adds an engine of the registry, or updates its entry. A changed start
     /// time or address means that it is a new run, whose state is unconfirmed.
     /// @return Whether the engine's report has to be read.
-    bool listed(const server_entry& entry);
+    bool update_entry(const server_entry& entry);
 
     /// Removes an engine that is no longer in the registry.
-    void removed(std::string_view id);
+    void remove(std::string_view id);
 
     /** Marks all known state as unconfirmed when this router becomes owner.
 
@@ -204,19 +204,20 @@
 
     /// Replaces the engine's state with its report. The report of a busy engine
     /// is ignored.
-    void reported(std::string_view id, const holdings_report& report, instant);
+    void apply_engine_report(
+        std::string_view id, const holdings_report& report, instant);
 
     /// Records that an order was sent.
-    void sent(std::string_view id, pending_order order, instant now);
+    void order_sent(std::string_view id, pending_order order, instant now);
 
     /// Records the outcome of the pending order.
     /// @return Whether the engine's report has to be read.
-    bool answered(std::string_view id, command_end outcome, instant now);
+    bool order_answered(std::string_view id, command_end outcome, instant now);
 
     /// Completes the orders whose expected time has come, except loads from the
     /// store.
     /// @return The completed orders.
-    std::vector<finished_order> advance(instant now);
+    std::vector<finished_order> complete_due_orders(instant now);
 
     /** Returns engines whose load from the store may have ended.
 
@@ -224,27 +225,27 @@
         concurrently on all engines, so that only the engine's report shows
         whether it has ended.
     */
-    std::vector<std::string> take_uncertain(instant now);
+    std::vector<std::string> take_unconfirmed_store_loads(instant now);
 
     /// @return Earliest expected completion of an order.
-    std::optional<instant> next_event() const;
+    std::optional<instant> next_completion() const;
 
     /** Marks an engine as unreachable until its report has been read.
 
         Meanwhile its models count as unavailable and are loaded on other
-        engines. An engine that has crashed remains in the registry for some
-        seconds.
+        engines. An engine that disappears without notice remains in the
+        registry for some seconds.
     */
-    void unreached(std::string_view id);
+    void mark_unreachable(std::string_view id);
 
     /// Sets the rate limits that engines currently name, in requests per
     /// second by engine id. Engines that aren't listed have no limit.
-    void limits_named(const std::map<std::string, double, std::less<>>& all);
+    void set_rate_limits(const std::map<std::string, double, std::less<>>& all);
 
     /// Handles that a different run answers at the engine's address. The engine
     /// is marked as unreachable. Its order count is reset, because the answer
     /// may come from a restart of the engine itself.
-    void run_over(std::string_view id);
+    void mark_replaced(std::string_view id);
 
     /// Marks an engine's state as unconfirmed.
     void mark_unconfirmed(std::string_view id);
--- a/src/core/swapping/ownership_wait.hpp
+++ b/src/core/swapping/ownership_wait.hpp
@@ -10,7 +10,7 @@
 {
 
 /// What is known about the router's previous run on this VM.
-enum class former_run : std::uint8_t
+enum class previous_run : std::uint8_t
 {
     unknown,     ///< no record of it was found
     never_owned, ///< it never sent an order to an engine
@@ -31,14 +31,14 @@
                        sent, and other routers may still register.
 */
 constexpr duration
-ownership_wait(former_run previous, bool first_start, duration lease)
+ownership_wait(previous_run previous, bool first_start, duration lease)
 {
     /// Time for the other routers' records to arrive: routers on stronger VMs
     /// apply for ownership first.
     constexpr duration settling_time = std::chrono::seconds(1);
     if (first_start)
         return settling_time;
-    if (previous == former_run::never_owned)
+    if (previous == previous_run::never_owned)
         return duration::zero();
     return std::max(lease, settling_time);
 }
--- a/src/core/swapping/peer_words.hpp
+++ b/src/core/swapping/peer_messages.hpp
@@ -41,7 +41,7 @@
 /// @return Interval at which a router reports its running requests. It grows
 ///         with the number of routers, which limits the owner's load to some
 ///         200 reports a second.
-constexpr duration use_word_pause(std::size_t routers)
+constexpr duration usage_report_interval(std::size_t routers)
 {
     constexpr duration min_interval = std::chrono::milliseconds(100);
     constexpr duration max_interval = std::chrono::milliseconds(500);
@@ -53,7 +53,7 @@
 }
 
 /// Requests for one model or adapter that a router runs on one engine.
-struct servable_use
+struct servable_usage
 {
     std::string servable; ///< key of the model or adapter
     std::string engine;   ///< id of the engine's entry
@@ -69,15 +69,15 @@
 
 /// A router's report to the placement owner. Its content is repeated, so that a
 /// lost or late report only causes a delay.
-struct router_word
+struct router_report
 {
     std::string router;
     std::uint64_t run = 0;      ///< identifies the run of the router process
     std::uint64_t sequence = 0; ///< increases within a run
     std::vector<servable_need> needs;
-    std::vector<servable_use> uses;
+    std::vector<servable_usage> uses;
     /// Ids of engines to which a connection has just failed.
-    std::vector<std::string> unreached;
+    std::vector<std::string> unreachable_engines;
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -88,12 +88,12 @@
             this->sequence,
             this->needs,
             this->uses,
-            this->unreached);
+            this->unreachable_engines);
     }
 };
 
 /// Time until a model that no engine has is expected to be loaded.
-struct servable_outlook
+struct announced_load_forecast
 {
     std::string model;            ///< key of the model
     std::int64_t ready_in_us = 0; ///< from the sending of the message
@@ -106,18 +106,18 @@
 };
 
 /// The placement owner's announcement to the routers.
-struct owner_word
+struct owner_announcement
 {
     std::string owner;
     std::uint64_t tenure = 0;
     std::uint32_t routers = 0; ///< that reported recently, the owner included
-    bool leaves = false;       ///< the sender no longer owns placement
+    bool ownership_released = false; ///< the sender no longer owns placement
     /// The owner's term has ended without a renewal. It sends no orders, and
     /// another router may own placement. What it announces about engines is
     /// still valid.
-    bool lapsed = false;
+    bool term_expired = false;
     std::vector<engine_residency> engines;
-    std::vector<servable_outlook> outlooks;
+    std::vector<announced_load_forecast> load_forecasts;
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -126,15 +126,15 @@
             this->owner,
             this->tenure,
             this->routers,
-            this->leaves,
-            this->lapsed,
+            this->ownership_released,
+            this->term_expired,
             this->engines,
-            this->outlooks);
+            this->load_forecasts);
     }
 };
 
 /// Reports that a server's connection broke while a request ran on it.
-struct break_word
+struct connection_loss_report
 {
     std::string router;
     std::uint64_t request = 0; ///< fingerprint of the request's content
--- a/src/core/swapping/load_ceiling.cpp
+++ b/src/core/swapping/store_load_limiter.cpp
@@ -1,4 +1,4 @@
-#include "core/swapping/load_ceiling.hpp"
+#include "core/swapping/store_load_limiter.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -7,13 +7,13 @@
 namespace roseworks
 {
 
-load_ceiling::load_ceiling(options chosen)
+store_load_limiter::store_load_limiter(options chosen)
     : settings(chosen)
     , concurrency(chosen.initial_concurrency)
 {
 }
 
-bool load_ceiling::may_start(
+bool store_load_limiter::may_start(
     double per_second, std::size_t running, instant now)
 {
     while (!this->start_times.empty() &&
@@ -21,18 +21,19 @@
         this->start_times.pop_front();
     const double seconds =
         std::chrono::duration<double>(this->settings.window).count();
-    const double max_starts = per_second * seconds * this->settings.factor *
+    const double max_starts = per_second * seconds *
+                              this->settings.rate_factor *
                               this->settings.usable_share;
     return running < this->concurrency_limit() &&
            static_cast<double>(this->start_times.size()) + 1 <= max_starts;
 }
 
-void load_ceiling::load_started(instant now)
+void store_load_limiter::load_started(instant now)
 {
     this->start_times.push_back(now);
 }
 
-void load_ceiling::load_ended(
+void store_load_limiter::load_ended(
     duration measured, duration configured, std::size_t concurrent)
 {
     const double slowdown =
--- a/src/core/swapping/load_ceiling.hpp
+++ b/src/core/swapping/store_load_limiter.hpp
@@ -17,7 +17,7 @@
     know which loads the previous owner started, so only a share of the limit
     is used.
 */
-class load_ceiling
+class store_load_limiter
 {
 public:
     struct options
@@ -25,7 +25,7 @@
         duration window = std::chrono::seconds(5);
         /// Loads that the store accepts within a window, as a multiple of its
         /// rate.
-        double factor = 1.1;
+        double rate_factor = 1.1;
         /// Share of the limit that is used: the store may count loads that the
         /// previous owner started in the same window.
         double usable_share = 0.8;
@@ -39,7 +39,7 @@
         double slowdown_threshold = 1.2;
     };
 
-    explicit load_ceiling(options settings);
+    explicit store_load_limiter(options settings);
 
     /// @param per_second Loads per second that the store allows.
     /// @param running    Loads from the store that are in progress.
--- a/src/core/swapping/swap_planner.cpp
+++ b/src/core/swapping/swap_planner.cpp
@@ -44,13 +44,13 @@
 
 swap_planner::swap_planner(options chosen)
     : settings(chosen)
-    , store_limiter(chosen.store)
+    , store_limiter(chosen.store_limiter)
     , engine_loss(chosen.engine_loss)
 {
 }
 
 std::vector<swap_order> swap_planner::plan(
-    const engine_book& engines, const need_book& needs, instant now)
+    const engine_tracker& engines, const demand_tracker& needs, instant now)
 {
     planning_round round{engines, needs, now, {}, {}, {}, {}, {}, {}};
     this->collect_usage(round);
@@ -78,7 +78,7 @@
 }
 
 void swap_planner::store_load_ended(
-    const engine_book& engines, const engine_state& engine, instant now)
+    const engine_tracker& engines, const engine_state& engine, instant now)
 {
     const model_profile* model =
         engines.find_model(engine.entry.service, engine.order->model);
@@ -500,7 +500,7 @@
     for (const auto& [id, engine] : round.engines.all())
     {
         if (engine.entry.service != request.service || engine.entry.leaving ||
-            !engine.examined || round.assigned_engines.contains(id) ||
+            !engine.state_confirmed || round.assigned_engines.contains(id) ||
             engine.weight_source_of(request.model) == weight_source::store ||
             !adds_capacity(engine, request.only_rate_limited))
             continue;
@@ -740,7 +740,7 @@
         const bool loading = engine.order && engine.order->is_store_load();
         // An engine whose state is unconfirmed may be doing a load from the
         // store that the previous owner ordered.
-        running += loading || !engine.examined ? 1 : 0;
+        running += loading || !engine.state_confirmed ? 1 : 0;
     }
     running += static_cast<std::size_t>(std::ranges::count_if(
         round.orders,
--- a/src/core/swapping/swap_planner.hpp
+++ b/src/core/swapping/swap_planner.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "core/swapping/departure_meter.hpp"
-#include "core/swapping/engine_book.hpp"
-#include "core/swapping/load_ceiling.hpp"
-#include "core/swapping/load_outlook.hpp"
-#include "core/swapping/need_book.hpp"
+#include "core/swapping/demand_tracker.hpp"
+#include "core/swapping/engine_loss_estimator.hpp"
+#include "core/swapping/engine_tracker.hpp"
+#include "core/swapping/load_forecast.hpp"
+#include "core/swapping/store_load_limiter.hpp"
 
 #include <roseworks/instant.hpp>
 
@@ -95,8 +95,8 @@
         double min_expected_waits = 0.2;
         /// Interval at which the copies on all engines are counted.
         duration copy_count_interval = std::chrono::milliseconds(100);
-        departure_meter::options engine_loss;
-        load_ceiling::options store;
+        engine_loss_estimator::options engine_loss;
+        store_load_limiter::options store_limiter;
     };
 
     explicit swap_planner(options settings);
@@ -104,16 +104,18 @@
     /// Records that an engine's load from the store has ended. To be called
     /// while the engine's state still contains the order.
     void store_load_ended(
-        const engine_book& engines, const engine_state& engine, instant now);
+        const engine_tracker& engines, const engine_state& engine, instant now);
 
     /// @return Orders to send now. The caller records them as sent.
-    std::vector<swap_order>
-    plan(const engine_book& engines, const need_book& needs, instant now);
+    std::vector<swap_order> plan(
+        const engine_tracker& engines,
+        const demand_tracker& needs,
+        instant now);
 
     /// @return Requested models that no engine has, with the times at which
     ///         they are expected to be loaded if the loads from the store go as
     ///         planned. Updated when the copies are counted.
-    std::span<const load_outlook> outlooks() const
+    std::span<const load_forecast> load_forecasts() const
     {
         return this->forecasts;
     }
@@ -184,8 +186,8 @@
     /// State of one planning round.
     struct planning_round
     {
-        const engine_book& engines;
-        const need_book& needs;
+        const engine_tracker& engines;
+        const demand_tracker& needs;
         instant now;
         std::unordered_map<const engine_state*, engine_usage> usage_by_engine;
         /// By model key.
@@ -301,9 +303,9 @@
     totals_of(const planning_round& round, std::string_view key) const;
 
     options settings;
-    load_ceiling store_limiter;
-    departure_meter engine_loss;
-    std::vector<load_outlook> forecasts;
+    store_load_limiter store_limiter;
+    engine_loss_estimator engine_loss;
+    std::vector<load_forecast> forecasts;
     instant copies_counted_at;
 };
 
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -3,7 +3,7 @@
 #include "core/dissemination/directory_word.hpp"
 #include "core/pacing/server_limit_word.hpp"
 #include "core/quota/quota_words.hpp"
-#include "core/swapping/peer_words.hpp"
+#include "core/swapping/peer_messages.hpp"
 
 #include <span>
 #include <string>
@@ -19,13 +19,13 @@
 public:
     virtual ~gateway_peer_listener() = default;
 
-    virtual void router_word_heard(const router_word& word) = 0;
+    virtual void router_word_heard(const router_report& word) = 0;
 
     /// @param from UDP ip:port of the owner.
     virtual void
-    owner_word_heard(const owner_word& word, std::string_view from) = 0;
+    owner_word_heard(const owner_announcement& word, std::string_view from) = 0;
 
-    virtual void break_word_heard(const break_word& word) = 0;
+    virtual void break_word_heard(const connection_loss_report& word) = 0;
     virtual void directory_word_heard(const directory_word& word) = 0;
 
     /// @param from UDP ip:port of the router.
@@ -44,11 +44,13 @@
     virtual void start(gateway_peer_listener& listener) = 0;
 
     virtual void
-    send(std::span<const std::string> addresses, const router_word& word) = 0;
-    virtual void
-    send(std::span<const std::string> addresses, const owner_word& word) = 0;
-    virtual void
-    send(std::span<const std::string> addresses, const break_word& word) = 0;
+    send(std::span<const std::string> addresses, const router_report& word) = 0;
+    virtual void send(
+        std::span<const std::string> addresses,
+        const owner_announcement& word) = 0;
+    virtual void send(
+        std::span<const std::string> addresses,
+        const connection_loss_report& word) = 0;
     virtual void send(
         std::span<const std::string> addresses, const directory_word& word) = 0;
 
--- a/tests/unit/gateway/desk_fixture.hpp
+++ b/tests/unit/gateway/desk_fixture.hpp
@@ -95,7 +95,8 @@
               {
                   return std::vector<std::string>{"r1"};
               },
-              [this](const owner_word& word, std::span<const std::string>)
+              [this](
+                  const owner_announcement& word, std::span<const std::string>)
               {
                   this->told.push_back(word);
               })
@@ -140,15 +141,15 @@
     /// Requests wait here for a model.
     void need(const std::string& model)
     {
-        router_word word = this->make_word();
+        router_report word = this->make_word();
         word.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
         this->desk.word_heard(word);
     }
 
     void unreached(const std::string& engine)
     {
-        router_word word = this->make_word();
-        word.unreached = {engine};
+        router_report word = this->make_word();
+        word.unreachable_engines = {engine};
         this->desk.word_heard(word);
     }
 
@@ -195,7 +196,7 @@
     held_commands commands;
     serving_view view{serving_view::options()};
     boost::asio::io_context loop;
-    std::vector<owner_word> told;
+    std::vector<owner_announcement> told;
     placement_desk desk;
 
 private:
@@ -209,9 +210,9 @@
         }
     }
 
-    router_word make_word()
+    router_report make_word()
     {
-        router_word word;
+        router_report word;
         word.router = "r1";
         word.sequence = ++this->sequence;
         return word;
--- a/tests/unit/gateway/test_placement_desk.cpp
+++ b/tests/unit/gateway/test_placement_desk.cpp
@@ -83,7 +83,7 @@
     cr_assert_eq(second.what.fence, first.what.fence);
     second.done(command_end::accepted);
     cr_assert_eq(test.desk.engines().find("e1")->orders_taken, 1);
-    cr_assert(test.desk.engines().find("e1")->examined);
+    cr_assert(test.desk.engines().find("e1")->state_confirmed);
 }
 
 /// The first was taken and its answer lost: what the engine does is read.
@@ -94,9 +94,9 @@
     test.need("m1");
     test.next_command().done(command_end::unknown);
     test.next_command().done(command_end::out_of_step);
-    cr_assert_not(test.desk.engines().find("e1")->examined);
+    cr_assert_not(test.desk.engines().find("e1")->state_confirmed);
     test.answer_report({"m1"}, 1);
-    cr_assert(test.desk.engines().find("e1")->examined);
+    cr_assert(test.desk.engines().find("e1")->state_confirmed);
     cr_assert_eq(test.desk.engines().find("e1")->orders_taken, 1);
 }
 
@@ -136,9 +136,9 @@
         first.done(late);
     const engine_state* engine = test.desk.engines().find("e1");
     cr_assert(engine->order.has_value());
-    cr_assert(!engine->order->done_at);
+    cr_assert(!engine->order->expected_completion);
     cr_assert_eq(engine->orders_taken, 0);
-    cr_assert(engine->examined);
+    cr_assert(engine->state_confirmed);
     second.done(command_end::accepted);
     cr_assert_eq(engine->orders_taken, 1);
 }
@@ -152,9 +152,9 @@
     test.desk.tenure_changed(std::nullopt);
     test.desk.tenure_changed(placement_tenure{9, test.clock.time + 1s});
     old.done(holdings_report());
-    cr_assert_not(test.desk.engines().find("e1")->examined);
+    cr_assert_not(test.desk.engines().find("e1")->state_confirmed);
     test.answer_report({"m0"}, 3);
-    cr_assert(test.desk.engines().find("e1")->examined);
+    cr_assert(test.desk.engines().find("e1")->state_confirmed);
     cr_assert_eq(test.desk.engines().find("e1")->orders_taken, 3);
 }
 
@@ -168,7 +168,7 @@
     for (int sent = 0; sent < 3; ++sent)
         test.next_command().done(command_end::unknown);
     cr_assert_eq(test.orders_sent(), 0);
-    cr_assert_not(test.desk.engines().find("e1")->examined);
+    cr_assert_not(test.desk.engines().find("e1")->state_confirmed);
 }
 
 /// It stays in the registry for seconds, and its models would serve nobody.
@@ -194,7 +194,7 @@
     test.unreached("e1");
     test.answer_report({"m0"});
     cr_assert(test.desk.engines().find("e1")->reachable);
-    cr_assert(test.desk.engines().find("e1")->examined);
+    cr_assert(test.desk.engines().find("e1")->state_confirmed);
 }
 
 /// The run after it at its address answers its report, and holds nothing: the
@@ -256,10 +256,10 @@
     test.own(7, {"m0"});
     test.desk.tenure_changed(std::nullopt);
     test.desk.tenure_changed(placement_tenure{9, test.clock.time + 1s});
-    cr_assert_not(test.desk.engines().find("e1")->examined);
-    cr_assert_not(test.desk.engines().find("e2")->examined);
+    cr_assert_not(test.desk.engines().find("e1")->state_confirmed);
+    cr_assert_not(test.desk.engines().find("e2")->state_confirmed);
     test.answer_reports({"m0"});
-    cr_assert(test.desk.engines().find("e2")->examined);
+    cr_assert(test.desk.engines().find("e2")->state_confirmed);
 }
 
 Test(placement_desk, a_renewed_term_goes_on_with_what_is_known)
@@ -267,7 +267,7 @@
     desk_fixture test(1);
     test.own(7, {"m0"});
     test.desk.tenure_changed(placement_tenure{8, test.clock.time + 1s});
-    cr_assert(test.desk.engines().find("e1")->examined);
+    cr_assert(test.desk.engines().find("e1")->state_confirmed);
     test.need("m1");
     cr_assert_eq(test.next_command().what.fence, 8);
 }
@@ -282,17 +282,17 @@
     test.next_command().done(command_end::accepted);
     test.clock.time += 1s;
     test.desk.term_ended();
-    cr_assert(test.told.back().lapsed);
-    const auto tells_of_load = [](const owner_word& word)
+    cr_assert(test.told.back().term_expired);
+    const auto tells_of_load = [](const owner_announcement& word)
     {
-        return word.lapsed && !word.engines.empty() &&
+        return word.term_expired && !word.engines.empty() &&
                !word.engines.front().resident.empty();
     };
     test.clock.time += 10s;
     while (std::ranges::none_of(test.told, tells_of_load))
         test.run_events(1);
     test.desk.tenure_changed(placement_tenure{7, test.clock.time + 1s});
-    cr_assert_not(test.told.back().lapsed);
+    cr_assert_not(test.told.back().term_expired);
 }
 
 /// A later owner's order that was the very one under way isn't counted by the
--- a/tests/unit/gateway/test_quota_desk.cpp
+++ b/tests/unit/gateway/test_quota_desk.cpp
@@ -24,9 +24,14 @@
 {
 public:
     void start(gateway_peer_listener&) override {}
-    void send(std::span<const std::string>, const router_word&) override {}
-    void send(std::span<const std::string>, const owner_word&) override {}
-    void send(std::span<const std::string>, const break_word&) override {}
+    void send(std::span<const std::string>, const router_report&) override {}
+    void send(std::span<const std::string>, const owner_announcement&) override
+    {
+    }
+    void
+    send(std::span<const std::string>, const connection_loss_report&) override
+    {
+    }
     void send(std::span<const std::string>, const directory_word&) override {}
     void send(std::span<const std::string>, const server_limit_word&) override
     {
--- a/tests/unit/swapping/swap_fixture.hpp
+++ b/tests/unit/swapping/swap_fixture.hpp
@@ -47,7 +47,7 @@
             engine.models.push_back(model);
         }
         this->configuration = config;
-        this->engines.configured(config);
+        this->engines.set_configuration(config);
     }
 
     /// Changes the size of one model.
@@ -56,7 +56,7 @@
         auto config = std::make_shared<deployment>(*this->configuration);
         config->services.front().engine->models[model].memory_mb = memory_mb;
         this->configuration = config;
-        this->engines.configured(config);
+        this->engines.set_configuration(config);
     }
 
     /// Adds an engine whose report has been read.
@@ -70,11 +70,11 @@
         entry.id = id;
         entry.service = "llm";
         entry.address = "10.0.0.1:80";
-        this->engines.listed(entry);
-        this->examine(id, loaded, std::move(on_disk), 0, now);
+        this->engines.update_entry(entry);
+        this->report_state(id, loaded, std::move(on_disk), 0, now);
     }
 
-    void examine(
+    void report_state(
         const std::string& id,
         const std::vector<std::string>& loaded,
         std::vector<std::string> on_disk,
@@ -86,7 +86,7 @@
         for (const std::string& model : loaded)
             report.holdings.resident.push_back({model, {}});
         report.holdings.on_disk = std::move(on_disk);
-        this->engines.reported(id, report, now);
+        this->engines.apply_engine_report(id, report, now);
     }
 
     /// Reports requests that wait at a router.
@@ -97,7 +97,7 @@
         const std::string& router = "r1",
         std::uint32_t waiting = 1)
     {
-        router_word report;
+        router_report report;
         report.router = router;
         report.sequence = ++this->sequence;
         report.needs = {
@@ -105,7 +105,7 @@
              waiting,
              objective_in.count(),
              duration(objective_in + 8s).count()}};
-        this->needs.heard(report, now);
+        this->needs.apply_router_report(report, now);
     }
 
     /// Reports requests that router `r1` runs on an engine.
@@ -115,11 +115,11 @@
         std::uint32_t running,
         instant now)
     {
-        router_word report;
+        router_report report;
         report.router = "r1";
         report.sequence = ++this->sequence;
         report.uses = {{servable_key("llm", servable), engine, running, 1}};
-        this->needs.heard(report, now);
+        this->needs.apply_router_report(report, now);
     }
 
     std::vector<swap_order> plan(instant now)
@@ -135,13 +135,13 @@
         sent.model = order.model;
         sent.adapter = order.adapter;
         sent.source = order.source;
-        this->engines.sent(order.engine, sent, now);
-        this->engines.answered(order.engine, command_end::accepted, now);
+        this->engines.order_sent(order.engine, sent, now);
+        this->engines.order_answered(order.engine, command_end::accepted, now);
     }
 
     std::shared_ptr<const deployment> configuration;
-    engine_book engines{engine_book::options()};
-    need_book needs{need_book::options()};
+    engine_tracker engines{engine_tracker::options()};
+    demand_tracker needs{demand_tracker::options()};
     swap_planner planner{swap_planner::options()};
     std::uint64_t sequence = 0;
 };
--- a/tests/unit/swapping/test_demand_meter.cpp
+++ b/tests/unit/swapping/test_demand_estimator.cpp
@@ -1,5 +1,5 @@
-#include "core/swapping/demand_meter.hpp"
-#include "core/swapping/departure_meter.hpp"
+#include "core/swapping/demand_estimator.hpp"
+#include "core/swapping/engine_loss_estimator.hpp"
 
 #include <criterion/criterion.h>
 
@@ -11,25 +11,25 @@
 
 constexpr instant start(100s);
 
-demand_meter make_meter()
+demand_estimator make_meter()
 {
-    return demand_meter(demand_meter::options{30s});
+    return demand_estimator(demand_estimator::options{30s});
 }
 
 } // namespace
 
-Test(demand_meter, requests_for_an_adapter_count_for_its_model)
+Test(demand_estimator, requests_for_an_adapter_count_for_its_model)
 {
-    demand_meter meter = make_meter();
+    demand_estimator meter = make_meter();
     meter.add("llm/m1", 2, start);
     meter.add("llm/m1/a3", 3, start);
     meter.add("other/m1", 7, start);
     cr_assert_float_eq(meter.decayed_count("llm/m1", start), 5, 1e-9);
 }
 
-Test(demand_meter, a_count_is_halved_after_a_half_life)
+Test(demand_estimator, a_count_is_halved_after_a_half_life)
 {
-    demand_meter meter = make_meter();
+    demand_estimator meter = make_meter();
     meter.add("llm/m1", 4, start);
     cr_assert_float_eq(meter.decayed_count("llm/m1", start + 30s), 2, 1e-9);
     meter.add("llm/m1", 1, start + 60s);
@@ -38,18 +38,20 @@
     cr_assert_eq(meter.decayed_count("llm/m1", start), 0);
 }
 
-Test(demand_meter, a_steady_rate_is_estimated)
+Test(demand_estimator, a_steady_rate_is_estimated)
 {
-    demand_meter meter = make_meter();
+    demand_estimator meter = make_meter();
     for (instant now = start; now < start + 300s; now += 500ms)
         meter.add("llm/m1", 1, now);
     cr_assert_float_eq(
         meter.requests_per_second("llm/m1", start + 300s), 2, 0.05);
 }
 
-Test(departure_meter, estimates_the_share_of_engines_that_were_lost_recently)
+Test(
+    engine_loss_estimator,
+    estimates_the_share_of_engines_that_were_lost_recently)
 {
-    departure_meter meter{departure_meter::options()};
+    engine_loss_estimator meter{engine_loss_estimator::options()};
     meter.update({"e1", "e2", "e3", "e4"}, start);
     const double calm = meter.loss_probability();
     cr_assert_gt(calm, 0);
--- a/tests/unit/swapping/test_engine_book.cpp
+++ b/tests/unit/swapping/test_engine_tracker.cpp
@@ -24,15 +24,15 @@
 
 } // namespace
 
-Test(engine_book, a_load_is_done_after_its_expected_time)
+Test(engine_tracker, a_load_is_done_after_its_expected_time)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
-    test.engines.sent("e1", load_of("m1"), at(1s));
+    test.engines.order_sent("e1", load_of("m1"), at(1s));
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(1s)));
-    test.engines.answered("e1", command_end::accepted, at(1s));
-    cr_assert(test.engines.advance(at(1s + 799ms)).empty());
-    const auto done = test.engines.advance(at(1s + 800ms));
+    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    cr_assert(test.engines.complete_due_orders(at(1s + 799ms)).empty());
+    const auto done = test.engines.complete_due_orders(at(1s + 800ms));
     cr_assert_eq(done.size(), 1);
     cr_assert_eq(done[0].servable, "llm/m1");
     cr_assert_not_null(test.engines.find("e1")->find("m1"));
@@ -40,25 +40,25 @@
     cr_assert(test.engines.find("e1")->accepts_orders(at(1s + 800ms)));
 }
 
-Test(engine_book, a_model_is_removed_when_its_unload_is_sent)
+Test(engine_tracker, a_model_is_removed_when_its_unload_is_sent)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
     const auto before = test.engines.find("e1")->revision;
-    test.engines.sent("e1", unload_of("m1"), at(1s));
+    test.engines.order_sent("e1", unload_of("m1"), at(1s));
     cr_assert_null(test.engines.find("e1")->find("m1"));
     cr_assert_gt(test.engines.find("e1")->revision, before);
 }
 
-Test(engine_book, a_rejected_unload_restores_the_model)
+Test(engine_tracker, a_rejected_unload_restores_the_model)
 {
     for (const command_end how :
          {command_end::out_of_step, command_end::withheld})
     {
         swap_fixture test(3);
         test.engine("e1", {"m1"}, {}, at(0s));
-        test.engines.sent("e1", unload_of("m1"), at(1s));
-        cr_assert_not(test.engines.answered("e1", how, at(1s)));
+        test.engines.order_sent("e1", unload_of("m1"), at(1s));
+        cr_assert_not(test.engines.order_answered("e1", how, at(1s)));
         cr_assert_not_null(test.engines.find("e1")->find("m1"));
         cr_assert_eq(test.engines.find("e1")->orders_taken, 0);
         cr_assert_not(test.engines.find("e1")->accepts_orders(at(1s)));
@@ -66,49 +66,52 @@
     }
 }
 
-/// A crashed engine remains in the registry for some seconds. If it stayed
-/// available for orders, its models would not be loaded elsewhere.
-Test(engine_book, an_unreachable_engine_gets_no_orders_until_its_report_is_read)
+/// An engine that disappears without notice remains in the registry for some
+/// seconds. While it got one order after the other, its models were not loaded
+/// elsewhere.
+Test(
+    engine_tracker,
+    an_unreachable_engine_gets_no_orders_until_its_report_is_read)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
-    test.engines.sent("e1", unload_of("m1"), at(1s));
-    cr_assert(test.engines.answered("e1", command_end::not_sent, at(1s)));
+    test.engines.order_sent("e1", unload_of("m1"), at(1s));
+    cr_assert(test.engines.order_answered("e1", command_end::not_sent, at(1s)));
     const engine_state* engine = test.engines.find("e1");
     cr_assert_not_null(engine->find("m1"));
     cr_assert_not(engine->reachable);
     cr_assert_not(engine->accepts_orders(at(10s)));
-    test.examine("e1", {"m1"}, {"m1"}, 0, at(11s));
+    test.report_state("e1", {"m1"}, {"m1"}, 0, at(11s));
     cr_assert(engine->reachable);
     cr_assert(engine->accepts_orders(at(11s)));
 }
 
-Test(engine_book, a_pending_load_on_an_unreachable_engine_is_dropped)
+Test(engine_tracker, a_pending_load_on_an_unreachable_engine_is_dropped)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
-    test.engines.sent("e1", load_of("m1"), at(1s));
-    test.engines.answered("e1", command_end::accepted, at(1s));
-    test.engines.unreached("e1");
-    cr_assert(test.engines.advance(at(3s)).empty());
+    test.engines.order_sent("e1", load_of("m1"), at(1s));
+    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.mark_unreachable("e1");
+    cr_assert(test.engines.complete_due_orders(at(3s)).empty());
     cr_assert_null(test.engines.find("e1")->find("m1"));
 }
 
-Test(engine_book, three_consecutive_orders_out_of_step_require_a_report)
+Test(engine_tracker, three_consecutive_orders_out_of_step_require_a_report)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
     for (const bool last : {false, false, true})
     {
-        test.engines.sent("e1", load_of("m1"), at(1s));
+        test.engines.order_sent("e1", load_of("m1"), at(1s));
         cr_assert_eq(
-            test.engines.answered("e1", command_end::out_of_step, at(1s)),
+            test.engines.order_answered("e1", command_end::out_of_step, at(1s)),
             last);
     }
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(10s)));
 }
 
-Test(engine_book, an_order_that_failed_or_is_unknown_requires_a_report)
+Test(engine_tracker, an_order_that_failed_or_is_unknown_requires_a_report)
 {
     for (const command_end how :
          {command_end::unknown,
@@ -118,78 +121,78 @@
     {
         swap_fixture test(3);
         test.engine("e1", {}, {"m1"}, at(0s));
-        test.engines.sent("e1", load_of("m1"), at(1s));
-        cr_assert(test.engines.answered("e1", how, at(1s)));
+        test.engines.order_sent("e1", load_of("m1"), at(1s));
+        cr_assert(test.engines.order_answered("e1", how, at(1s)));
         cr_assert_not(test.engines.find("e1")->accepts_orders(at(10s)));
-        test.examine("e1", {"m1"}, {"m1"}, 1, at(2s));
+        test.report_state("e1", {"m1"}, {"m1"}, 1, at(2s));
         cr_assert(test.engines.find("e1")->accepts_orders(at(2s)));
     }
 }
 
-Test(engine_book, the_report_of_a_busy_engine_is_ignored)
+Test(engine_tracker, the_report_of_a_busy_engine_is_ignored)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engines.mark_unconfirmed("e1");
     holdings_report report;
     report.busy = true;
-    test.engines.reported("e1", report, at(1s));
+    test.engines.apply_engine_report("e1", report, at(1s));
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(2s)));
 }
 
 /// Guards against two owners that send orders to one engine alternately within
 /// the lease.
-Test(engine_book, an_engine_with_another_owners_orders_waits_for_the_lease)
+Test(engine_tracker, an_engine_with_another_owners_orders_waits_for_the_lease)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
-    test.engines.sent("e1", load_of("m1"), at(1s));
-    test.engines.answered("e1", command_end::accepted, at(1s));
-    test.engines.advance(at(2s));
+    test.engines.order_sent("e1", load_of("m1"), at(1s));
+    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.complete_due_orders(at(2s));
     test.engines.take_over(3s, false);
-    test.examine("e1", {"m2"}, {"m1"}, 3, at(2s + 500ms));
+    test.report_state("e1", {"m2"}, {"m1"}, 3, at(2s + 500ms));
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(3s + 999ms)));
     cr_assert(test.engines.find("e1")->accepts_orders(at(4s)));
 }
 
-Test(engine_book, an_engine_without_another_owners_orders_does_not_wait)
+Test(engine_tracker, an_engine_without_another_owners_orders_does_not_wait)
 {
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
-    test.engines.sent("e1", load_of("m1"), at(1s));
-    test.engines.answered("e1", command_end::accepted, at(1s));
-    test.engines.advance(at(2s));
+    test.engines.order_sent("e1", load_of("m1"), at(1s));
+    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.complete_due_orders(at(2s));
     test.engines.take_over(3s, false);
     cr_assert_not(
         test.engines.find("e1")->accepts_orders(at(2s)),
         "its report has not been read yet");
-    test.examine("e1", {"m1"}, {"m1"}, 1, at(2s + 500ms));
+    test.report_state("e1", {"m1"}, {"m1"}, 1, at(2s + 500ms));
     cr_assert(test.engines.find("e1")->accepts_orders(at(2s + 500ms)));
 }
 
-Test(engine_book, a_restarted_engine_requires_a_report)
+Test(engine_tracker, a_restarted_engine_requires_a_report)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
     server_entry entry = test.engines.find("e1")->entry;
-    cr_assert_not(test.engines.listed(entry));
+    cr_assert_not(test.engines.update_entry(entry));
     entry.born_ms = 77;
-    cr_assert(test.engines.listed(entry));
+    cr_assert(test.engines.update_entry(entry));
     cr_assert(test.engines.find("e1")->loaded_models.empty());
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(2s)));
 }
 
-Test(engine_book, host_memory_keeps_the_most_recently_used_models)
+Test(engine_tracker, host_memory_keeps_the_most_recently_used_models)
 {
     swap_fixture test(4);
     test.engine("e1", {}, {"m0", "m1", "m2"}, at(0s));
     instant now = at(1s);
     for (const char* model : {"m0", "m1", "m2"})
     {
-        test.engines.sent("e1", load_of(model), now);
-        test.engines.answered("e1", command_end::accepted, now);
+        test.engines.order_sent("e1", load_of(model), now);
+        test.engines.order_answered("e1", command_end::accepted, now);
         now += 1s;
-        test.engines.advance(now);
+        test.engines.complete_due_orders(now);
     }
     const engine_state* engine = test.engines.find("e1");
     cr_assert(engine->weight_source_of("m0") == weight_source::disk);
@@ -199,40 +202,41 @@
 
 /// An engine with eight adapter slots was ordered to load a ninth adapter while
 /// requests still used the one that was being unloaded.
-Test(engine_book, an_adapter_in_use_keeps_its_slot_while_it_is_unloaded)
+Test(engine_tracker, an_adapter_in_use_keeps_its_slot_while_it_is_unloaded)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
     pending_order load = load_of("m1");
     load.adapter = "a1";
-    test.engines.sent("e1", load, at(1s));
-    test.engines.answered("e1", command_end::accepted, at(1s));
-    test.engines.advance(at(2s));
+    test.engines.order_sent("e1", load, at(1s));
+    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.complete_due_orders(at(2s));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 1);
     pending_order unload = unload_of("m1");
     unload.adapter = "a1";
-    test.engines.sent("e1", unload, at(3s));
-    cr_assert(test.engines.answered("e1", command_end::accepted, at(3s)));
+    test.engines.order_sent("e1", unload, at(3s));
+    cr_assert(test.engines.order_answered("e1", command_end::accepted, at(3s)));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 1);
     cr_assert_not(
         test.engines.find("e1")->accepts_orders(at(9s)),
         "its report has to be read");
 }
 
-Test(engine_book, an_idle_adapter_is_unloaded_at_once)
+Test(engine_tracker, an_idle_adapter_is_unloaded_at_once)
 {
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
     pending_order load = load_of("m1");
     load.adapter = "a1";
-    test.engines.sent("e1", load, at(1s));
-    test.engines.answered("e1", command_end::accepted, at(1s));
-    test.engines.advance(at(2s));
+    test.engines.order_sent("e1", load, at(1s));
+    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.complete_due_orders(at(2s));
     pending_order unload = unload_of("m1");
     unload.adapter = "a1";
-    test.engines.sent("e1", unload, at(3s));
-    cr_assert_not(test.engines.answered("e1", command_end::already_so, at(3s)));
-    test.engines.advance(at(3s));
+    test.engines.order_sent("e1", unload, at(3s));
+    cr_assert_not(
+        test.engines.order_answered("e1", command_end::already_so, at(3s)));
+    test.engines.complete_due_orders(at(3s));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 0);
     cr_assert_eq(test.engines.find("e1")->orders_taken, 2);
 }
--- a/tests/unit/swapping/test_limited_engines.cpp
+++ b/tests/unit/swapping/test_limited_engines.cpp
@@ -17,7 +17,7 @@
     {
         this->engine("e1", {"m1"}, {"m1", "m2"}, at(0s));
         this->engine("e2", {}, {"m1", "m3"}, at(0s));
-        this->engines.limits_named({{"e1", 2.0}});
+        this->engines.set_rate_limits({{"e1", 2.0}});
     }
 };
 
@@ -44,7 +44,7 @@
 Test(limited_engines, a_copy_counts_again_after_the_limit_has_ended)
 {
     limited_copy test;
-    test.engines.limits_named({});
+    test.engines.set_rate_limits({});
     test.need("m1", 2500ms, at(1s));
     cr_assert(test.plan(at(1s)).empty());
 }
@@ -52,7 +52,7 @@
 Test(limited_engines, one_waiting_request_adds_no_copy_on_a_limited_engine)
 {
     limited_copy test;
-    test.engines.limits_named({{"e1", 2.0}, {"e2", 2.0}});
+    test.engines.set_rate_limits({{"e1", 2.0}, {"e2", 2.0}});
     test.need("m1", 2500ms, at(1s));
     cr_assert(test.plan(at(1s)).empty());
 }
@@ -62,7 +62,7 @@
 Test(limited_engines, waiting_requests_add_a_copy_where_all_engines_are_limited)
 {
     limited_copy test;
-    test.engines.limits_named({{"e1", 2.0}, {"e2", 2.0}});
+    test.engines.set_rate_limits({{"e1", 2.0}, {"e2", 2.0}});
     test.need("m1", 2500ms, at(1s), "r1", 3);
     const auto orders = test.plan(at(1s));
     cr_assert_eq(orders.size(), 1U);
@@ -76,7 +76,7 @@
     swap_fixture test(6);
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engine("e2", {}, {"m1"}, at(0s));
-    test.engines.limits_named({{"e1", 2.0}});
+    test.engines.set_rate_limits({{"e1", 2.0}});
     test.need("m1", 2500ms, at(1s));
     const auto orders = test.plan(at(1s));
     cr_assert_eq(orders.size(), 1U);
@@ -87,7 +87,7 @@
 {
     swap_fixture test(6);
     test.engine("e1", {}, {"m1"}, at(0s));
-    test.engines.limits_named({{"e1", 2.0}});
+    test.engines.set_rate_limits({{"e1", 2.0}});
     test.need("m1", 2500ms, at(1s));
     cr_assert_eq(test.plan(at(1s)).size(), 1U);
 }
@@ -95,7 +95,7 @@
 Test(limited_engines, an_adapter_is_loaded_on_an_engine_without_a_limit)
 {
     limited_copy test;
-    test.examine("e2", {"m1"}, {"m1", "m3"}, 0, at(500ms));
+    test.report_state("e2", {"m1"}, {"m1", "m3"}, 0, at(500ms));
     test.need("m1/a1", 2500ms, at(1s));
     const auto orders = test.plan(at(1s));
     cr_assert_eq(orders.size(), 1U);
@@ -109,7 +109,7 @@
 {
     limited_copy test;
     cr_assert_eq(test.engines.find("e1")->rate_limit, 2.0);
-    test.engines.limits_named({{"e2", 3.0}});
+    test.engines.set_rate_limits({{"e2", 3.0}});
     cr_assert_eq(test.engines.find("e1")->rate_limit, 0);
     cr_assert_eq(test.engines.find("e2")->rate_limit, 3.0);
 }
--- a/tests/unit/swapping/test_rare_model_burst.cpp
+++ b/tests/unit/swapping/test_rare_model_burst.cpp
@@ -48,8 +48,8 @@
         {
             this->arrive(now);
             this->end_runs(now);
-            this->test.engines.advance(now);
-            this->tell_needs(now);
+            this->test.engines.complete_due_orders(now);
+            this->report_demand(now);
             this->test.needs.tick(now);
             for (const swap_order& order : this->test.plan(now))
                 this->test.accept(order, now);
@@ -57,7 +57,7 @@
             this->start_runs(now);
         }
         return static_cast<double>(this->in_time) /
-               static_cast<double>(this->asked);
+               static_cast<double>(this->requested);
     }
 
 private:
@@ -85,13 +85,13 @@
             const std::size_t model = this->random() % model_count;
             this->waiting["m" + std::to_string(model)].push_back(
                 now + objective);
-            ++this->asked;
+            ++this->requested;
         }
     }
 
-    void tell_needs(instant now)
+    void report_demand(instant now)
     {
-        router_word report;
+        router_report report;
         report.router = "r1";
         report.sequence = ++this->test.sequence;
         for (const auto& [model, objectives] : this->waiting)
@@ -107,17 +107,23 @@
         std::map<std::pair<std::string, std::string>, std::uint32_t> running;
         for (const run& one : this->runs)
             ++running[{one.model, one.engine}];
-        for (const auto& [place, count] : running)
+        for (const auto& [model_and_engine, count] : running)
             report.uses.push_back(
-                {servable_key("llm", place.first), place.second, count, 0});
-        for (const auto& [place, count] : this->told)
+                {servable_key("llm", model_and_engine.first),
+                 model_and_engine.second,
+                 count,
+                 0});
+        for (const auto& [model_and_engine, count] : this->reported_running)
         {
-            if (!running.contains(place))
+            if (!running.contains(model_and_engine))
                 report.uses.push_back(
-                    {servable_key("llm", place.first), place.second, 0, 0});
+                    {servable_key("llm", model_and_engine.first),
+                     model_and_engine.second,
+                     0,
+                     0});
         }
-        this->told = running;
-        this->test.needs.heard(report, now);
+        this->reported_running = running;
+        this->test.needs.apply_router_report(report, now);
     }
 
     void start_runs(instant now)
@@ -167,8 +173,9 @@
     double burst_rate;
     std::map<std::string, std::vector<instant>> waiting;
     std::vector<run> runs;
-    std::map<std::pair<std::string, std::string>, std::uint32_t> told;
-    std::size_t asked = 0;
+    std::map<std::pair<std::string, std::string>, std::uint32_t>
+        reported_running;
+    std::size_t requested = 0;
     std::size_t in_time = 0;
 };
 
--- a/tests/unit/swapping/test_release.cpp
+++ b/tests/unit/swapping/test_release.cpp
@@ -23,7 +23,7 @@
     release_replay(std::size_t engines, duration pause)
         : test(model_count)
         , last("old-" + std::to_string(engines - 1))
-        , between(pause)
+        , replacement_interval(pause)
     {
         for (std::size_t i = 0; i < engines; ++i)
         {
@@ -41,15 +41,16 @@
     {
         duration missing{};
         const instant end =
-            at(0s) + this->between * (this->old.size() + 1) + this->load_time;
+            at(0s) + this->replacement_interval * (this->old.size() + 1) +
+            this->load_time;
         for (instant now = at(0s); now < end; now += step)
         {
             this->replace_engine(now);
-            this->ask(now);
+            this->request_model(now);
             this->end_loads(now);
             for (const swap_order& order : this->test.plan(now))
                 this->test.accept(order, now);
-            missing += this->somewhere() ? duration::zero() : duration(step);
+            missing += this->is_loaded() ? duration::zero() : duration(step);
         }
         return missing;
     }
@@ -64,31 +65,32 @@
 
     void replace_engine(instant now)
     {
-        const auto due =
-            static_cast<std::size_t>((now - at(0s)) / this->between);
+        const auto due = static_cast<std::size_t>(
+            (now - at(0s)) / this->replacement_interval);
         if (due <= this->replaced || this->replaced == this->old.size())
             return;
-        this->test.engines.removed(this->old[this->replaced]);
+        this->test.engines.remove(this->old[this->replaced]);
         ++this->replaced;
         this->test.engine("new-" + std::to_string(this->replaced), {}, {}, now);
     }
 
-    void ask(instant now)
+    void request_model(instant now)
     {
         if (this->replaced < this->old.size())
             this->test.use("m0", this->last, 1, now);
-        if (!this->somewhere())
+        if (!this->is_loaded())
             this->test.need("m0", 500ms, now);
     }
 
     void end_loads(instant now)
     {
-        this->test.engines.advance(now);
-        for (const std::string& id : this->test.engines.take_uncertain(now))
+        this->test.engines.complete_due_orders(now);
+        for (const std::string& id :
+             this->test.engines.take_unconfirmed_store_loads(now))
         {
             ++this->store_loads;
             const std::string model = this->test.engines.find(id)->order->model;
-            this->test.examine(
+            this->test.report_state(
                 id,
                 {model},
                 {model},
@@ -97,7 +99,7 @@
         }
     }
 
-    bool somewhere() const
+    bool is_loaded() const
     {
         return std::ranges::any_of(
             this->test.engines.all(),
@@ -109,7 +111,7 @@
 
     swap_fixture test;
     std::string last;
-    duration between;
+    duration replacement_interval;
     std::vector<std::string> old;
     std::size_t replaced = 0;
 };
@@ -152,7 +154,7 @@
         test.accept(order, at(1s));
     test.plan(at(1s + 200ms));
     std::map<std::string, instant> ready;
-    for (const load_outlook& one : test.planner.outlooks())
+    for (const load_forecast& one : test.planner.load_forecasts())
         ready[one.model] = one.ready;
     cr_assert_eq(ready.size(), 3);
     cr_assert(ready.at("llm/m0") == at(7s));
--- a/tests/unit/swapping/test_load_ceiling.cpp
+++ b/tests/unit/swapping/test_store_load_limiter.cpp
@@ -1,4 +1,4 @@
-#include "core/swapping/load_ceiling.hpp"
+#include "core/swapping/store_load_limiter.hpp"
 
 #include <criterion/criterion.h>
 
@@ -12,7 +12,7 @@
 constexpr instant start(100s);
 
 /// @return Number of loads that may run concurrently.
-std::size_t concurrency_limit(load_ceiling& limiter)
+std::size_t concurrency_limit(store_load_limiter& limiter)
 {
     std::size_t running = 0;
     while (limiter.may_start(unlimited_rate, running, start))
@@ -24,17 +24,17 @@
 
 /// The store serves one load at full speed, in 6 s; four concurrent loads take
 /// 24 s each.
-Test(load_ceiling, slowed_loads_reduce_the_concurrency)
+Test(store_load_limiter, slowed_loads_reduce_the_concurrency)
 {
-    load_ceiling limiter{load_ceiling::options()};
+    store_load_limiter limiter{store_load_limiter::options()};
     cr_assert_eq(concurrency_limit(limiter), 4);
     limiter.load_ended(24s, 6s, 4);
     cr_assert_eq(concurrency_limit(limiter), 1);
 }
 
-Test(load_ceiling, loads_at_full_speed_raise_the_concurrency)
+Test(store_load_limiter, loads_at_full_speed_raise_the_concurrency)
 {
-    load_ceiling limiter{load_ceiling::options()};
+    store_load_limiter limiter{store_load_limiter::options()};
     limiter.load_ended(6200ms, 6s, 4);
     cr_assert_eq(concurrency_limit(limiter), 5);
     limiter.load_ended(
@@ -44,9 +44,9 @@
     cr_assert_eq(concurrency_limit(limiter), 4);
 }
 
-Test(load_ceiling, loads_in_a_window_stay_within_the_rate_of_the_store)
+Test(store_load_limiter, loads_in_a_window_stay_within_the_rate_of_the_store)
 {
-    load_ceiling limiter{load_ceiling::options()};
+    store_load_limiter limiter{store_load_limiter::options()};
     std::size_t started = 0;
     for (; limiter.may_start(1.6, 0, start); ++started)
         limiter.load_started(start);
--- a/tests/unit/swapping/test_swap_planner.cpp
+++ b/tests/unit/swapping/test_swap_planner.cpp
@@ -56,7 +56,7 @@
     test.engine("e2", {}, {"m1"}, at(0s));
     test.need("m1", 2500ms, at(1s));
     cr_assert(test.plan(at(1s)).empty());
-    test.engines.unreached("e1");
+    test.engines.mark_unreachable("e1");
     const auto orders = test.plan(at(1s + 10ms));
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].engine, "e2");
@@ -72,7 +72,7 @@
     const auto first = test.plan(at(1s));
     cr_assert_eq(first.size(), 1);
     test.accept(first[0], at(1s));
-    test.engines.unreached(first[0].engine);
+    test.engines.mark_unreachable(first[0].engine);
     const auto second = test.plan(at(1s + 10ms));
     cr_assert_eq(second.size(), 1);
     cr_assert_neq(second[0].engine, first[0].engine);
@@ -117,11 +117,11 @@
     entry.id = "e2";
     entry.service = "llm";
     entry.address = "10.0.0.2:80";
-    test.engines.listed(entry);
+    test.engines.update_entry(entry);
     holdings_report report;
     report.holdings.in_memory = {"m1"};
     report.holdings.on_disk = {"m1"};
-    test.engines.reported("e2", report, at(0s));
+    test.engines.apply_engine_report("e2", report, at(0s));
     test.need("m1", 2500ms, at(1s));
     const auto orders = test.plan(at(1s));
     cr_assert_eq(orders[0].engine, "e2");
@@ -338,7 +338,7 @@
     entry.service = "llm";
     entry.address = "10.0.0.2:80";
     entry.holdings.on_disk = {"m1"};
-    test.engines.listed(entry);
+    test.engines.update_entry(entry);
     test.need("m1", 2500ms, at(1s));
     cr_assert(
         test.plan(at(1s)).empty(), "the copy is used once the report is read");
@@ -350,7 +350,7 @@
     test.engine("e1", {}, {"m1"}, at(0s));
     server_entry entry = test.engines.find("e1")->entry;
     entry.leaving = true;
-    test.engines.listed(entry);
+    test.engines.update_entry(entry);
     test.need("m1", 2500ms, at(1s));
     for (const swap_order& order : test.plan(at(1s)))
         cr_assert_neq(order.engine, "e1");
@@ -379,7 +379,7 @@
         order.model = "m1";
         order.adapter = name;
         test.accept(order, at(0s));
-        test.engines.advance(at(100ms));
+        test.engines.complete_due_orders(at(100ms));
     }
     test.use("m1/a1", "e1", 1, at(1s));
     test.need("m1/a3", 400ms, at(2s), "r2");
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -21,17 +21,18 @@
 class kept_words final : public gateway_peer_listener
 {
 public:
-    void router_word_heard(const router_word& word) override
+    void router_word_heard(const router_report& word) override
     {
         this->routers.push_back(word);
     }
 
-    void owner_word_heard(const owner_word& word, std::string_view) override
+    void
+    owner_word_heard(const owner_announcement& word, std::string_view) override
     {
         this->owners.push_back(word);
     }
 
-    void break_word_heard(const break_word& word) override
+    void break_word_heard(const connection_loss_report& word) override
     {
         this->breaks.push_back(word);
     }
@@ -59,10 +60,10 @@
     std::vector<server_limit_word> limits;
     std::vector<quota_ask> asks;
     std::vector<quota_answer> answers;
-    std::vector<router_word> routers;
+    std::vector<router_report> routers;
     std::vector<directory_word> directories;
-    std::vector<owner_word> owners;
-    std::vector<break_word> breaks;
+    std::vector<owner_announcement> owners;
+    std::vector<connection_loss_report> breaks;
 };
 
 /// Two ends on one event loop.
@@ -115,14 +116,14 @@
     kept_words kept;
     receiver.start(kept);
     const std::string to[] = {text_of(place)};
-    router_word word{"r1", 5, 7, {{"llm/m1", 2, 100, 200}}, {}, {}};
+    router_report word{"r1", 5, 7, {{"llm/m1", 2, 100, 200}}, {}, {}};
     word.uses = {{"llm/m1", "e1", 1, 3}};
-    word.unreached = {"e7"};
-    owner_word owner{"r2", 9, 4, true, {}};
+    word.unreachable_engines = {"e7"};
+    owner_announcement owner{"r2", 9, 4, true, {}};
     owner.engines.push_back({"e1", 0, 9, 3, {{"m1", {"a1"}}}});
     test.sender.send(to, word);
     test.sender.send(to, owner);
-    test.sender.send(to, break_word{"r1", 77, "e1"});
+    test.sender.send(to, connection_loss_report{"r1", 77, "e1"});
     run_until(
         test.loop,
         [&]
@@ -131,9 +132,9 @@
         });
     cr_assert_eq(kept.routers[0].needs[0].servable, "llm/m1");
     cr_assert_eq(kept.routers[1].uses[0].started, 3);
-    cr_assert_eq(kept.routers[0].unreached.at(0), "e7");
-    cr_assert(kept.routers[1].unreached.empty()); // told once
-    cr_assert(kept.owners[0].leaves);
+    cr_assert_eq(kept.routers[0].unreachable_engines.at(0), "e7");
+    cr_assert(kept.routers[1].unreachable_engines.empty()); // told once
+    cr_assert(kept.owners[0].ownership_released);
     cr_assert_gt(kept.routers[1].sequence, kept.routers[0].sequence);
     cr_assert_eq(kept.owners[0].engines[0].resident[0].adapters[0], "a1");
     cr_assert_eq(kept.breaks[0].request, 77);
@@ -237,7 +238,7 @@
     peers_pair test;
     const udp::endpoint place = free_endpoint();
     udp::socket socket(test.loop, place);
-    owner_word owner{"r2", 9, 4, false, {}};
+    owner_announcement owner{"r2", 9, 4, false, {}};
     for (int i = 0; i < 90; ++i)
         owner.engines.push_back(
             {"i-0123456789",
--- a/tests/unit/users_platform/test_own_record.cpp
+++ b/tests/unit/users_platform/test_own_record.cpp
@@ -40,7 +40,7 @@
     return "append " + record(owned, run);
 }
 
-asio::awaitable<void> read_former(own_record& own, former_run& found)
+asio::awaitable<void> read_former(own_record& own, previous_run& found)
 {
     found = co_await own.read_former();
 }
@@ -145,7 +145,7 @@
 
 Test(ownership_wait, follows_what_the_run_before_did)
 {
-    using enum former_run;
+    using enum previous_run;
     cr_assert_eq(ownership_wait(never_owned, false, 3s), 0s);
     cr_assert_eq(ownership_wait(owned, false, 3s), 3s);
     cr_assert_eq(ownership_wait(unknown, false, 3s), 3s);
@@ -165,18 +165,18 @@
 
 Test(own_record, tells_what_the_run_before_left)
 {
-    const std::pair<std::string, former_run> cases[] = {
-        {"", former_run::unknown},
-        {"{", former_run::unknown},
-        {record(false, 3), former_run::never_owned},
-        {record(true, 3), former_run::owned}};
+    const std::pair<std::string, previous_run> cases[] = {
+        {"", previous_run::unknown},
+        {"{", previous_run::unknown},
+        {record(false, 3), previous_run::never_owned},
+        {record(true, 3), previous_run::owned}};
     for (const auto& [left, expected] : cases)
     {
         fake_store store;
         if (!left.empty())
             store.put("edge-1", left);
         store.put("edge-2", record(true, 9));
-        former_run found = former_run::unknown;
+        previous_run found = previous_run::unknown;
         run(store,
             [&found](own_record& own)
             {
