--- a/tests/unit/swapping/swap_fixture.hpp
+++ b/tests/unit/swapping/swap_fixture.hpp
@@ -17,7 +17,8 @@
     return instant(100s + since_start);
 }
 
-/// A service `llm` of engines with room for three models of 65 GB.
+/// Planner, engines and demand of a service `llm`, whose engines have room for
+/// three models of 65 GB.
 class swap_fixture
 {
 public:
@@ -46,22 +47,22 @@
             engine.models.push_back(model);
         }
         this->configuration = config;
-        this->engines.configured(config);
+        this->engines.set_configuration(config);
     }
 
-    /// Gives one model another size.
+    /// Changes the size of one model.
     void resize(std::size_t model, double memory_mb)
     {
         auto config = std::make_shared<deployment>(*this->configuration);
         config->services.front().engine->models[model].memory_mb = memory_mb;
         this->configuration = config;
-        this->engines.configured(config);
+        this->engines.set_configuration(config);
     }
 
-    /// An engine that was examined: what it holds, and what is on its disk.
+    /// Adds an engine whose report has been read.
     void engine(
         const std::string& id,
-        const std::vector<std::string>& held,
+        const std::vector<std::string>& loaded,
         std::vector<std::string> on_disk,
         instant now)
     {
@@ -69,26 +70,26 @@
         entry.id = id;
         entry.service = "llm";
         entry.address = "10.0.0.1:80";
-        this->engines.listed(entry);
-        this->examine(id, held, std::move(on_disk), 0, now);
+        this->engines.update_entry(entry);
+        this->report_state(id, loaded, std::move(on_disk), 0, now);
     }
 
-    void examine(
+    void report_state(
         const std::string& id,
-        const std::vector<std::string>& held,
+        const std::vector<std::string>& loaded,
         std::vector<std::string> on_disk,
         std::uint64_t orders_taken,
         instant now)
     {
         holdings_report report;
         report.orders_taken = orders_taken;
-        for (const std::string& model : held)
+        for (const std::string& model : loaded)
             report.holdings.resident.push_back({model, {}});
         report.holdings.on_disk = std::move(on_disk);
-        this->engines.reported(id, report, now);
+        this->engines.apply_engine_report(id, report, now);
     }
 
-    /// Requests wait at a router.
+    /// Reports requests that wait at a router.
     void need(
         const std::string& servable,
         duration objective_in,
@@ -96,28 +97,29 @@
         const std::string& router = "r1",
         std::uint32_t waiting = 1)
     {
-        router_word word;
-        word.router = router;
-        word.sequence = ++this->sequence;
-        word.needs = {
+        router_report report;
+        report.router = router;
+        report.sequence = ++this->sequence;
+        report.needs = {
             {servable_key("llm", servable),
              waiting,
              objective_in.count(),
              duration(objective_in + 8s).count()}};
-        this->needs.heard(word, now);
+        this->needs.apply_router_report(report, now);
     }
 
+    /// Reports requests that router `r1` runs on an engine.
     void
     use(const std::string& servable,
         const std::string& engine,
         std::uint32_t running,
         instant now)
     {
-        router_word word;
-        word.router = "r1";
-        word.sequence = ++this->sequence;
-        word.uses = {{servable_key("llm", servable), engine, running, 1}};
-        this->needs.heard(word, now);
+        router_report report;
+        report.router = "r1";
+        report.sequence = ++this->sequence;
+        report.uses = {{servable_key("llm", servable), engine, running, 1}};
+        this->needs.apply_router_report(report, now);
     }
 
     std::vector<swap_order> plan(instant now)
@@ -125,7 +127,7 @@
         return this->planner.plan(this->engines, this->needs, now);
     }
 
-    /// Sends the order and has it accepted.
+    /// Records the order as sent and accepted.
     void accept(const swap_order& order, instant now)
     {
         pending_order sent;
@@ -133,13 +135,13 @@
         sent.model = order.model;
         sent.adapter = order.adapter;
         sent.source = order.source;
-        this->engines.sent(order.engine, sent, now);
-        this->engines.answered(order.engine, command_end::accepted, now);
+        this->engines.order_sent(order.engine, sent, now);
+        this->engines.order_answered(order.engine, command_end::accepted, now);
     }
 
     std::shared_ptr<const deployment> configuration;
-    engine_book engines{engine_book::options()};
-    need_book needs{need_book::options()};
+    engine_tracker engines{engine_tracker::options()};
+    demand_tracker needs{demand_tracker::options()};
     swap_planner planner{swap_planner::options()};
     std::uint64_t sequence = 0;
 };
--- a/tests/unit/swapping/test_rare_model_burst.cpp
+++ b/tests/unit/swapping/test_rare_model_burst.cpp
@@ -13,13 +13,16 @@
 namespace
 {
 
-/** The load that hurts most: requests for many rare models, doubled for some
-    seconds. Eighteen engines with room for three models each, ninety models of
-    which each is on four disks; a request runs for 0.5 s. Virtual time. */
+/** Simulates requests for many rare models, with a burst of some seconds.
+
+    This is the most demanding load: most requests need a load from disk. There
+    are 18 engines with room for three models each, and 90 models, each on the
+    disks of four engines. A request runs for 0.5 s. Time is simulated.
+*/
 class burst_replay
 {
 public:
-    /// @param rate of requests a second in the burst.
+    /// @param rate Requests per second in the burst.
     explicit burst_replay(std::uint64_t seed, double rate)
         : test(model_count)
         , random(seed)
@@ -38,15 +41,15 @@
             this->test.engine("e" + std::to_string(i), {}, disks[i], at(0s));
     }
 
-    /// @return The share of requests that began within their objective.
+    /// @return Share of requests that started within their objective.
     double play()
     {
         for (instant now = at(0s); now < at(20s); now += step)
         {
             this->arrive(now);
             this->end_runs(now);
-            this->test.engines.advance(now);
-            this->tell_needs(now);
+            this->test.engines.complete_due_orders(now);
+            this->report_demand(now);
             this->test.needs.tick(now);
             for (const swap_order& order : this->test.plan(now))
                 this->test.accept(order, now);
@@ -54,7 +57,7 @@
             this->start_runs(now);
         }
         return static_cast<double>(this->in_time) /
-               static_cast<double>(this->asked);
+               static_cast<double>(this->requested);
     }
 
 private:
@@ -82,19 +85,19 @@
             const std::size_t model = this->random() % model_count;
             this->waiting["m" + std::to_string(model)].push_back(
                 now + objective);
-            ++this->asked;
+            ++this->requested;
         }
     }
 
-    void tell_needs(instant now)
+    void report_demand(instant now)
     {
-        router_word word;
-        word.router = "r1";
-        word.sequence = ++this->test.sequence;
+        router_report report;
+        report.router = "r1";
+        report.sequence = ++this->test.sequence;
         for (const auto& [model, objectives] : this->waiting)
         {
             const auto earliest = std::ranges::min(objectives);
-            word.needs.push_back(
+            report.needs.push_back(
                 {servable_key("llm", model),
                  static_cast<std::uint32_t>(objectives.size()),
                  earliest > now ? duration(earliest - now).count()
@@ -104,32 +107,38 @@
         std::map<std::pair<std::string, std::string>, std::uint32_t> running;
         for (const run& one : this->runs)
             ++running[{one.model, one.engine}];
-        for (const auto& [place, count] : running)
-            word.uses.push_back(
-                {servable_key("llm", place.first), place.second, count, 0});
-        for (const auto& [place, count] : this->told)
+        for (const auto& [model_and_engine, count] : running)
+            report.uses.push_back(
+                {servable_key("llm", model_and_engine.first),
+                 model_and_engine.second,
+                 count,
+                 0});
+        for (const auto& [model_and_engine, count] : this->reported_running)
         {
-            if (!running.contains(place))
-                word.uses.push_back(
-                    {servable_key("llm", place.first), place.second, 0, 0});
+            if (!running.contains(model_and_engine))
+                report.uses.push_back(
+                    {servable_key("llm", model_and_engine.first),
+                     model_and_engine.second,
+                     0,
+                     0});
         }
-        this->told = running;
-        this->test.needs.heard(word, now);
+        this->reported_running = running;
+        this->test.needs.apply_router_report(report, now);
     }
 
     void start_runs(instant now)
     {
         for (const auto& [id, engine] : this->test.engines.all())
         {
-            for (const held_model& held : engine.held)
+            for (const loaded_model& loaded : engine.loaded_models)
             {
-                const auto found = this->waiting.find(held.name);
+                const auto found = this->waiting.find(loaded.name);
                 if (found == this->waiting.end())
                     continue;
                 for (const instant limit : found->second)
                 {
                     this->in_time += now <= limit ? 1 : 0;
-                    this->runs.push_back({held.name, id, now + run_time});
+                    this->runs.push_back({loaded.name, id, now + run_time});
                 }
                 this->waiting.erase(found);
             }
@@ -164,12 +173,13 @@
     double burst_rate;
     std::map<std::string, std::vector<instant>> waiting;
     std::vector<run> runs;
-    std::map<std::pair<std::string, std::string>, std::uint32_t> told;
-    std::size_t asked = 0;
+    std::map<std::pair<std::string, std::string>, std::uint32_t>
+        reported_running;
+    std::size_t requested = 0;
     std::size_t in_time = 0;
 };
 
-/// @return The share in time, over some seeds.
+/// @return Share of requests in time, averaged over several seeds.
 double mean_share(double burst_rate)
 {
     double sum = 0;
@@ -182,15 +192,16 @@
 
 } // namespace
 
-Test(rare_model_burst, nearly_all_begin_within_their_objective)
+Test(rare_model_burst, nearly_all_requests_start_within_their_objective)
 {
     const double mean = mean_share(46);
     cr_assert_geq(mean, 0.97, "%.3f", mean);
 }
 
-/// At a rate that engines just manage the order of loads decides: 0.979 begin
-/// in time, and 0.893 with the farthest objectives first.
-Test(rare_model_burst, at_the_highest_rate_the_nearest_objectives_go_first)
+/// At the highest rate that the engines can handle, the order of the loads is
+/// decisive: 0.979 of the requests start in time, but only 0.893 if the latest
+/// objective is loaded first.
+Test(rare_model_burst, at_the_highest_rate_the_earliest_objective_goes_first)
 {
     const double mean = mean_share(120);
     cr_assert_geq(mean, 0.95, "%.3f", mean);
--- a/tests/unit/swapping/test_release.cpp
+++ b/tests/unit/swapping/test_release.cpp
@@ -11,17 +11,19 @@
 namespace
 {
 
-/** The engines of a service are replaced one after the other, each by one with
-   a bare disk. A model that is asked for all the time is only on the disk of
-   the one that goes last. Virtual time. */
+/** Simulates a release that replaces the engines of a service one by one.
+
+    Each new engine has an empty disk. A model that is requested all the time is
+    only on the disk of the engine that is replaced last. Time is simulated.
+*/
 class release_replay
 {
 public:
-    /// @param pause between two engines.
+    /// @param pause Time between two replacements.
     release_replay(std::size_t engines, duration pause)
         : test(model_count)
         , last("old-" + std::to_string(engines - 1))
-        , between(pause)
+        , replacement_interval(pause)
     {
         for (std::size_t i = 0; i < engines; ++i)
         {
@@ -34,25 +36,26 @@
         }
     }
 
-    /// @return How long no engine had the model.
+    /// @return Total time during which no engine had the model loaded.
     duration play()
     {
         duration missing{};
         const instant end =
-            at(0s) + this->between * (this->old.size() + 1) + this->load_time;
+            at(0s) + this->replacement_interval * (this->old.size() + 1) +
+            this->load_time;
         for (instant now = at(0s); now < end; now += step)
         {
             this->replace_engine(now);
-            this->ask(now);
+            this->request_model(now);
             this->end_loads(now);
             for (const swap_order& order : this->test.plan(now))
                 this->test.accept(order, now);
-            missing += this->somewhere() ? duration::zero() : duration(step);
+            missing += this->is_loaded() ? duration::zero() : duration(step);
         }
         return missing;
     }
 
-    /// Loads from the store that were begun.
+    /// Loads from the store whose end was read from a report.
     std::size_t store_loads = 0;
 
 private:
@@ -62,31 +65,32 @@
 
     void replace_engine(instant now)
     {
-        const auto due =
-            static_cast<std::size_t>((now - at(0s)) / this->between);
+        const auto due = static_cast<std::size_t>(
+            (now - at(0s)) / this->replacement_interval);
         if (due <= this->replaced || this->replaced == this->old.size())
             return;
-        this->test.engines.removed(this->old[this->replaced]);
+        this->test.engines.remove(this->old[this->replaced]);
         ++this->replaced;
         this->test.engine("new-" + std::to_string(this->replaced), {}, {}, now);
     }
 
-    void ask(instant now)
+    void request_model(instant now)
     {
         if (this->replaced < this->old.size())
             this->test.use("m0", this->last, 1, now);
-        if (!this->somewhere())
+        if (!this->is_loaded())
             this->test.need("m0", 500ms, now);
     }
 
     void end_loads(instant now)
     {
-        this->test.engines.advance(now);
-        for (const std::string& id : this->test.engines.take_uncertain(now))
+        this->test.engines.complete_due_orders(now);
+        for (const std::string& id :
+             this->test.engines.take_unconfirmed_store_loads(now))
         {
             ++this->store_loads;
             const std::string model = this->test.engines.find(id)->order->model;
-            this->test.examine(
+            this->test.report_state(
                 id,
                 {model},
                 {model},
@@ -95,7 +99,7 @@
         }
     }
 
-    bool somewhere() const
+    bool is_loaded() const
     {
         return std::ranges::any_of(
             this->test.engines.all(),
@@ -107,24 +111,25 @@
 
     swap_fixture test;
     std::string last;
-    duration between;
+    duration replacement_interval;
     std::vector<std::string> old;
     std::size_t replaced = 0;
 };
 
 } // namespace
 
-/// Without a second copy beforehand nobody had it for the six seconds of a load
-/// from the store, and all of its requests waited.
-Test(release, a_model_that_is_asked_for_is_copied_before_its_last_engine_goes)
+/// Without a second copy in time, the model is missing for the 6 s of a load
+/// from the store, and all of its requests wait.
+Test(release, a_requested_model_is_copied_before_its_last_engine_is_replaced)
 {
     release_replay replay(6, 3s);
     const duration missing = replay.play();
     cr_assert_eq(missing, duration::zero());
 }
 
-/// A load from the store has its price, and keeps an engine from others.
-Test(release, in_calm_times_a_rare_models_one_copy_is_enough)
+/// A load from the store uses the store's bandwidth and blocks its engine for
+/// other loads.
+Test(release, one_copy_of_a_rare_model_is_enough_while_no_engine_is_lost)
 {
     swap_fixture test(4);
     for (int i = 0; i < 6; ++i)
@@ -135,9 +140,9 @@
         cr_assert(test.plan(now).empty());
 }
 
-/// The store does two at once here, half of the engines: the third that is
-/// asked for comes after one of them.
-Test(release, what_waits_for_the_store_is_foreseen)
+/// With four engines, two loads from the store may run concurrently. The third
+/// model has to wait until one of them has ended.
+Test(release, expected_times_of_loads_from_the_store_are_reported)
 {
     swap_fixture test(4);
     for (int i = 0; i < 4; ++i)
@@ -149,7 +154,7 @@
         test.accept(order, at(1s));
     test.plan(at(1s + 200ms));
     std::map<std::string, instant> ready;
-    for (const load_outlook& one : test.planner.outlooks())
+    for (const load_forecast& one : test.planner.load_forecasts())
         ready[one.model] = one.ready;
     cr_assert_eq(ready.size(), 3);
     cr_assert(ready.at("llm/m0") == at(7s));
@@ -157,8 +162,9 @@
     cr_assert(ready.at("llm/m2") == at(13s));
 }
 
-/// Refused at once, nobody waits for it; it is loaded all the same.
-Test(release, a_model_that_was_asked_for_is_loaded_though_nobody_waits)
+/// A request that is refused at once doesn't wait for the model. The model has
+/// to be loaded nevertheless.
+Test(release, a_model_is_loaded_for_requests_that_were_refused)
 {
     swap_fixture test(4);
     for (int i = 0; i < 4; ++i)
