--- a/tests/unit/users_platform/fake_store.cpp
+++ b/tests/unit/users_platform/fake_store.cpp
@@ -47,7 +47,7 @@
 
 /// An answer without records: the end offset 1, as in listings, and the first
 /// offset, 8 bytes each.
-std::string nothing_after_one()
+std::string empty_read_answer()
 {
     std::string page(16, '\0');
     page[7] = 1;
@@ -65,10 +65,10 @@
 {
 }
 
-void fake_store::lose_answers(int count)
+void fake_store::drop_answers(int count)
 {
     const std::scoped_lock lock(this->mutex);
-    this->answers_lost = count;
+    this->answers_to_drop = count;
 }
 
 void fake_store::put(const std::string& key, const std::string& value)
@@ -82,7 +82,7 @@
     this->reads_answered = true;
 }
 
-void fake_store::seen_run(const std::string& writer, std::uint64_t run)
+void fake_store::set_writer_run(const std::string& writer, std::uint64_t run)
 {
     const std::scoped_lock lock(this->mutex);
     this->writers[writer].run = run;
@@ -91,7 +91,7 @@
 void fake_store::answer_joins(int count)
 {
     const std::scoped_lock lock(this->mutex);
-    this->joins_answered = count;
+    this->joins_to_answer = count;
 }
 
 std::string fake_store::value_of(const std::string& key)
@@ -113,13 +113,13 @@
         const std::string request = peer.read_request();
         if (request.empty())
             return;
-        const std::string told = this->answer(request);
-        if (told.empty())
+        const std::string response = this->answer(request);
+        if (response.empty())
         {
             peer.shut_down();
             return;
         }
-        peer.send(told);
+        peer.send(response);
     }
 }
 
@@ -128,7 +128,7 @@
     if (request.starts_with("GET /log-read"))
     {
         ++this->reads_seen;
-        return this->reads_answered ? http(200, nothing_after_one())
+        return this->reads_answered ? http(200, empty_read_answer())
                                     : http(503, "");
     }
     const std::scoped_lock lock(this->mutex);
@@ -136,10 +136,10 @@
         return this->listing();
     if (request.starts_with("POST /log-append"))
     {
-        const std::string told = this->append(request);
-        const bool lost = this->answers_lost > 0;
-        this->answers_lost -= lost ? 1 : 0;
-        return lost ? std::string() : told;
+        const std::string response = this->append(request);
+        const bool is_dropped = this->answers_to_drop > 0;
+        this->answers_to_drop -= is_dropped ? 1 : 0;
+        return is_dropped ? std::string() : response;
     }
     if (request.starts_with("POST /log-join"))
         return this->membership();
@@ -191,9 +191,9 @@
 
 std::string fake_store::membership()
 {
-    if (this->joins_answered == 0)
+    if (this->joins_to_answer == 0)
         return http(503, "");
-    --this->joins_answered;
+    --this->joins_to_answer;
     this->events.emplace_back("join");
     return http(200, R"({"generation":5,"parts":[["placement",0,0]]})");
 }
--- a/tests/unit/users_platform/fake_store.hpp
+++ b/tests/unit/users_platform/fake_store.hpp
@@ -28,13 +28,13 @@
     }
 
     /// Applies the next `count` appends, but drops their answers.
-    void lose_answers(int count);
+    void drop_answers(int count);
 
     /// Sets a record as if it had been appended before the test.
     void put(const std::string& key, const std::string& value);
 
     /// Acts as if a run of the writer with this number had appended.
-    void seen_run(const std::string& writer, std::uint64_t run);
+    void set_writer_run(const std::string& writer, std::uint64_t run);
 
     /// @return The number of reads so far, without listings.
     int reads() const
@@ -72,8 +72,8 @@
     std::map<std::string, std::string> records; ///< by key
     std::map<std::string, writer_state> writers;
     std::vector<std::string> events;
-    int answers_lost = 0;
-    int joins_answered = std::numeric_limits<int>::max();
+    int answers_to_drop = 0;
+    int joins_to_answer = std::numeric_limits<int>::max();
     std::atomic<int> reads_seen{0};
     std::atomic<bool> reads_answered{false};
     edge::tests::fake_backend server; ///< last: its threads use the others
--- a/tests/unit/users_platform/no_copies.hpp
+++ b/tests/unit/users_platform/null_copy_port.hpp
@@ -6,7 +6,7 @@
 {
 
 /// Answers every request for a copy with nothing.
-class no_copies final : public directory_copy_port
+class null_copy_port final : public directory_copy_port
 {
 public:
     void serve(directory_copy_source&) override {}
--- a/tests/unit/users_platform/test_copy_exchange.cpp
+++ b/tests/unit/users_platform/test_copy_exchange.cpp
@@ -21,13 +21,14 @@
 {
 
 /// Provides copies with one configuration and one server.
-class known_topics final : public directory_copy_source
+class fake_copy_source final : public directory_copy_source
 {
 public:
-    std::shared_ptr<const directory_copy> copy_for(const copy_ask& ask) override
+    std::shared_ptr<const directory_copy>
+    copy_for(const copy_ask& request) override
     {
-        this->asked = ask;
-        if (!this->knows)
+        this->requested = request;
+        if (!this->has_data)
             return nullptr;
         directory_copy copy;
         copy.state = {9, 250};
@@ -40,11 +41,11 @@
         return std::make_shared<const directory_copy>(copy);
     }
 
-    bool knows = true;
-    std::optional<copy_ask> asked;
+    bool has_data = true;
+    std::optional<copy_ask> requested;
 };
 
-std::string text_of(const tcp::endpoint& endpoint)
+std::string to_text(const tcp::endpoint& endpoint)
 {
     return (std::ostringstream() << endpoint).str();
 }
@@ -56,62 +57,62 @@
     return acceptor.local_endpoint();
 }
 
-struct exchange_pair
+struct exchange_fixture
 {
-    explicit exchange_pair(std::size_t most_at_once = 8)
-        : giver(this->loop, options(this->loop, most_at_once), this->meter)
-        , asker(this->loop, options(this->loop, 8), this->meter)
+    explicit exchange_fixture(std::size_t most_at_once = 8)
+        : provider(this->loop, options(this->loop, most_at_once), this->meter)
+        , requester(this->loop, options(this->loop, 8), this->meter)
     {
-        this->giver.serve(this->topics);
+        this->provider.serve(this->topics);
     }
 
     copy_exchange::options options(asio::io_context& on, std::size_t most)
     {
-        copy_exchange::options made;
-        made.listen = free_endpoint(on);
-        made.most_at_once = most;
-        if (this->giver_address.empty())
-            this->giver_address = text_of(made.listen);
-        return made;
+        copy_exchange::options result;
+        result.listen = free_endpoint(on);
+        result.most_at_once = most;
+        if (this->provider_address.empty())
+            this->provider_address = to_text(result.listen);
+        return result;
     }
 
-    std::optional<directory_copy> fetch(const copy_ask& ask)
+    std::optional<directory_copy> fetch(const copy_ask& request)
     {
-        std::optional<directory_copy> got;
+        std::optional<directory_copy> received;
         bool is_done = false;
-        this->asker.fetch(
-            this->giver_address,
-            ask,
+        this->requester.fetch(
+            this->provider_address,
+            request,
             [&](std::optional<directory_copy> copy)
             {
-                got = std::move(copy);
+                received = std::move(copy);
                 is_done = true;
             });
         while (!is_done)
             this->loop.run_one();
-        return got;
+        return received;
     }
 
-    ~exchange_pair()
+    ~exchange_fixture()
     {
-        this->giver.stop();
-        this->asker.stop();
+        this->provider.stop();
+        this->requester.stop();
         this->loop.poll();
     }
 
-    std::string giver_address;
+    std::string provider_address;
     asio::io_context loop;
     platform::byte_meter meter;
-    known_topics topics;
-    copy_exchange giver;
-    copy_exchange asker;
+    fake_copy_source topics;
+    copy_exchange provider;
+    copy_exchange requester;
 };
 
 } // namespace
 
 Test(copy_exchange, a_copy_is_received_unchanged)
 {
-    exchange_pair test;
+    exchange_fixture test;
     const auto copy = test.fetch({directory_topic::registry, true, 5});
     cr_assert(copy.has_value());
     cr_assert_eq(copy->state.next, 9);
@@ -121,15 +122,15 @@
     cr_assert_eq(copy->servers.size(), 1);
     cr_assert_eq(copy->servers[0].entry.address, "10.0.0.1:80");
     cr_assert_eq(copy->servers[0].offset, 7);
-    cr_assert(test.topics.asked->topic == directory_topic::registry);
-    cr_assert(test.topics.asked->knows_any);
-    cr_assert_eq(test.topics.asked->next, 5);
+    cr_assert(test.topics.requested->topic == directory_topic::registry);
+    cr_assert(test.topics.requested->knows_any);
+    cr_assert_eq(test.topics.requested->next, 5);
 }
 
 Test(copy_exchange, a_router_without_data_provides_no_copy)
 {
-    exchange_pair test;
-    test.topics.knows = false;
+    exchange_fixture test;
+    test.topics.has_data = false;
     cr_assert(!test.fetch({directory_topic::deployment, false, 0}));
 }
 
@@ -137,24 +138,24 @@
 /// the same time and request copies.
 Test(copy_exchange, requests_beyond_the_limit_are_refused_at_once)
 {
-    exchange_pair test(0);
+    exchange_fixture test(0);
     cr_assert(!test.fetch({directory_topic::deployment, false, 0}));
-    cr_assert(!test.topics.asked);
+    cr_assert(!test.topics.requested);
 }
 
 Test(copy_exchange, a_malformed_request_is_not_answered)
 {
-    exchange_pair test;
-    const auto colon = test.giver_address.rfind(':');
-    tcp::socket stranger(test.loop);
-    stranger.connect(
+    exchange_fixture test;
+    const auto colon = test.provider_address.rfind(':');
+    tcp::socket client(test.loop);
+    client.connect(
         {asio::ip::address_v4::loopback(),
          static_cast<unsigned short>(
-             std::stoi(test.giver_address.substr(colon + 1)))});
-    asio::write(stranger, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
+             std::stoi(test.provider_address.substr(colon + 1)))});
+    asio::write(client, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
     char byte = 0;
     bool is_closed = false;
-    stranger.async_read_some(
+    client.async_read_some(
         asio::buffer(&byte, 1),
         [&](const boost::system::error_code& error, std::size_t)
         {
@@ -162,12 +163,12 @@
         });
     while (!is_closed)
         test.loop.run_one();
-    cr_assert(!test.topics.asked);
+    cr_assert(!test.topics.requested);
 }
 
 Test(copy_exchange, a_fetch_from_an_invalid_address_returns_nothing)
 {
-    exchange_pair test;
-    test.giver_address = "nowhere";
+    exchange_fixture test;
+    test.provider_address = "nowhere";
     cr_assert(!test.fetch({directory_topic::deployment, false, 0}));
 }
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -42,10 +42,10 @@
 }
 
 /// A store that lists the routers and refuses all other reads.
-class router_store
+class refusing_store
 {
 public:
-    explicit router_store(int stronger)
+    explicit refusing_store(int stronger)
         : others(stronger)
     {
     }
@@ -100,28 +100,30 @@
 };
 
 /// Another router that provides copies of all topics.
-class knowing_router final : public directory_copy_port
+class fake_copy_port final : public directory_copy_port
 {
 public:
     void serve(directory_copy_source&) override {}
 
     void fetch(
-        std::string_view address, const copy_ask& ask, copy_done done) override
+        std::string_view address,
+        const copy_ask& request,
+        copy_done done) override
     {
-        this->asked.emplace_back(address);
-        if (!this->gives)
+        this->requested.emplace_back(address);
+        if (!this->provides)
         {
             done(std::nullopt);
             return;
         }
         directory_copy copy;
         copy.state = {this->next, 0};
-        const bool is_news = !ask.knows_any || this->next > ask.next;
-        if (is_news && ask.topic == directory_topic::deployment)
+        const bool is_news = !request.knows_any || this->next > request.next;
+        if (is_news && request.topic == directory_topic::deployment)
             copy.configuration = R"({"version":)" +
                                  std::to_string(this->version) +
                                  R"(,"routes":[],"services":[]})";
-        if (is_news && ask.topic == directory_topic::registry)
+        if (is_news && request.topic == directory_topic::registry)
         {
             registry_change change{2, registry_change::kind::whole, {}};
             change.entry.id = "i-1";
@@ -133,13 +135,13 @@
 
     void stop() override {}
 
-    bool gives = true;
+    bool provides = true;
     std::uint64_t next = 5;
     int version = 7;
-    std::vector<std::string> asked;
+    std::vector<std::string> requested;
 };
 
-class kept_topics final : public directory_listener
+class recording_listener final : public directory_listener
 {
 public:
     void deployment_read(std::shared_ptr<const deployment> read) override
@@ -173,7 +175,7 @@
 };
 
 /// A clock that a test advances.
-class set_clock final : public clock_port
+class manual_clock final : public clock_port
 {
 public:
     instant now() const override
@@ -191,9 +193,9 @@
 
 const platform::system_clock real_clock;
 
-struct refused_directory
+struct directory_fixture
 {
-    explicit refused_directory(
+    explicit directory_fixture(
         const clock_port& clock = real_clock, int others = 1)
         : store(others)
         , directory(
@@ -208,7 +210,7 @@
         this->directory.owner_heard(true);
     }
 
-    ~refused_directory()
+    ~directory_fixture()
     {
         this->directory.stop();
         this->loop.poll();
@@ -216,10 +218,10 @@
 
     store_directory::options settings() const
     {
-        store_directory::options made;
-        made.server = *platform::parse_endpoint(this->store.address());
-        made.self = {"edge-1", "10.0.0.1:7380", 1};
-        return made;
+        store_directory::options result;
+        result.server = *platform::parse_endpoint(this->store.address());
+        result.self = {"edge-1", "10.0.0.1:7380", 1};
+        return result;
     }
 
     template <class Reached>
@@ -229,12 +231,12 @@
             this->loop.run_one();
     }
 
-    router_store store;
+    refusing_store store;
     asio::io_context loop;
     platform::byte_meter meter;
     events::null_event_sink sink;
-    kept_topics listener;
-    knowing_router copies;
+    recording_listener listener;
+    fake_copy_port copies;
     store_directory directory;
 };
 
@@ -244,20 +246,20 @@
 /// store refused its reads.
 Test(directory_copies, topics_that_the_store_refuses_are_copied_from_a_router)
 {
-    refused_directory test;
+    directory_fixture test;
     test.run_until(
         [&]
         {
             return test.listener.version == 7 && !test.listener.servers.empty();
         });
-    cr_assert_eq(test.copies.asked.front(), "10.0.0.9:1");
+    cr_assert_eq(test.copies.requested.front(), "10.0.0.9:1");
     cr_assert_eq(test.listener.servers.front().heard, 2);
     cr_assert(!test.listener.servers.front().holdings.copies_known);
 }
 
 Test(directory_copies, an_announced_configuration_is_copied_at_once)
 {
-    refused_directory test;
+    directory_fixture test;
     test.run_until(
         [&]
         {
@@ -265,9 +267,9 @@
         });
     test.copies.next = 6;
     test.copies.version = 8;
-    directory_word word;
-    word.deployment = {6, 10};
-    test.directory.word_heard(word);
+    directory_word update;
+    update.deployment = {6, 10};
+    test.directory.word_heard(update);
     test.run_until(
         [&]
         {
@@ -282,7 +284,7 @@
 /// network partition: it would restore servers that were removed since.
 Test(directory_copies, a_copy_older_than_the_known_data_is_ignored)
 {
-    refused_directory test;
+    directory_fixture test;
     test.run_until(
         [&]
         {
@@ -291,16 +293,16 @@
     test.listener.servers.clear();
     test.copies.next = 4;
     test.copies.version = 9;
-    const std::size_t before = test.copies.asked.size();
-    directory_word word;
-    word.deployment = {6, 10};
-    word.registry = {8, 10};
-    word.registry_from = 7;
-    test.directory.word_heard(word);
+    const std::size_t before = test.copies.requested.size();
+    directory_word update;
+    update.deployment = {6, 10};
+    update.registry = {8, 10};
+    update.registry_from = 7;
+    test.directory.word_heard(update);
     test.run_until(
         [&]
         {
-            return test.copies.asked.size() > before + 6;
+            return test.copies.requested.size() > before + 6;
         });
     cr_assert_eq(test.listener.version, 7);
     cr_assert(test.listener.servers.empty());
@@ -308,7 +310,7 @@
 
 Test(directory_copies, a_router_provides_copies_of_its_topics)
 {
-    refused_directory test;
+    directory_fixture test;
     cr_assert(!test.directory.copy_for({directory_topic::registry, false, 0}));
     test.run_until(
         [&]
@@ -333,26 +335,26 @@
 /// after each change.
 Test(directory_copies, a_new_configuration_is_requested_from_routers_first)
 {
-    set_clock clock;
-    refused_directory test(clock, 5);
+    manual_clock clock;
+    directory_fixture test(clock, 5);
     test.run_until(
         [&]
         {
             return test.listener.version == 7 && !test.listener.servers.empty();
         });
-    test.copies.gives = false;
+    test.copies.provides = false;
     const int refused = test.store.refused;
-    const std::size_t asked = test.copies.asked.size();
-    directory_word word;
-    word.deployment = {6, 10};
-    test.directory.word_heard(word);
+    const std::size_t requested = test.copies.requested.size();
+    directory_word update;
+    update.deployment = {6, 10};
+    test.directory.word_heard(update);
     test.run_until(
         [&]
         {
-            return test.copies.asked.size() > asked + 5;
+            return test.copies.requested.size() > requested + 5;
         });
     cr_assert_eq(test.store.refused, refused);
-    clock.time += store_directory::options().config_patience;
+    clock.time += store_directory::options().config_copy_timeout;
     test.run_until(
         [&]
         {
@@ -364,18 +366,18 @@
 /// for copies from them.
 Test(directory_copies, a_router_of_the_highest_capacity_reads_the_store_at_once)
 {
-    set_clock clock;
-    refused_directory test(clock, 3);
+    manual_clock clock;
+    directory_fixture test(clock, 3);
     test.run_until(
         [&]
         {
             return test.listener.version == 7;
         });
     const int refused = test.store.refused;
-    directory_word word;
-    word.deployment = {6, 10};
-    test.copies.gives = false;
-    test.directory.word_heard(word);
+    directory_word update;
+    update.deployment = {6, 10};
+    test.copies.provides = false;
+    test.directory.word_heard(update);
     test.run_until(
         [&]
         {
--- a/tests/unit/users_platform/test_directory_words.cpp
+++ b/tests/unit/users_platform/test_directory_updates.cpp
@@ -1,7 +1,7 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
 #include "fake_store.hpp"
-#include "no_copies.hpp"
+#include "null_copy_port.hpp"
 #include "platform/store_directory.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -17,7 +17,7 @@
 using namespace roseworks;
 using namespace roseworks::users_platform;
 using roseworks::users_platform::tests::fake_store;
-using roseworks::users_platform::tests::no_copies;
+using roseworks::users_platform::tests::null_copy_port;
 using namespace std::chrono_literals;
 namespace asio = boost::asio;
 
@@ -25,7 +25,7 @@
 {
 
 /// Records the notifications about servers and routers.
-class server_listener final : public directory_listener
+class recording_listener final : public directory_listener
 {
 public:
     void deployment_read(std::shared_ptr<const deployment>) override {}
@@ -59,27 +59,27 @@
 
     void registry_back() override
     {
-        ++this->returns;
+        ++this->recoveries;
     }
 
-    void store_read(const directory_word& word) override
+    void store_read(const directory_word& update) override
     {
-        this->told.push_back(word);
+        this->sent.push_back(update);
     }
 
     bool listed = false;
     bool routers = false;
-    int returns = 0;
+    int recoveries = 0;
     std::vector<server_entry> read;
     std::vector<std::string> removed;
-    std::vector<directory_word> told;
+    std::vector<directory_word> sent;
 };
 
 /// A directory that has listed the registry. Unless a test shortens the maximum
 /// age, it does not read the store again without an update.
-struct listed_directory
+struct directory_fixture
 {
-    explicit listed_directory(
+    explicit directory_fixture(
         std::chrono::milliseconds age = std::chrono::hours(1),
         double others_capacity = 1)
         : directory(
@@ -100,7 +100,7 @@
             this->loop.run_one();
     }
 
-    ~listed_directory()
+    ~directory_fixture()
     {
         this->directory.stop();
         this->loop.poll();
@@ -108,12 +108,12 @@
 
     store_directory::options settings(std::chrono::milliseconds age) const
     {
-        store_directory::options made;
-        made.server = *platform::parse_endpoint(this->store.address());
-        made.self = {"edge-1", "10.0.0.1:7380", 1};
-        made.registry_age = age;
-        made.config_age = age;
-        return made;
+        store_directory::options result;
+        result.server = *platform::parse_endpoint(this->store.address());
+        result.self = {"edge-1", "10.0.0.1:7380", 1};
+        result.registry_age = age;
+        result.config_age = age;
+        return result;
     }
 
     template <class Reached>
@@ -128,36 +128,36 @@
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    server_listener listener;
-    no_copies copies;
+    recording_listener listener;
+    null_copy_port copies;
     store_directory directory;
 };
 
 /// @param from First offset of the update; listings of the fake store end at 1.
-directory_word word_of(std::uint64_t from, std::uint64_t next)
+directory_word make_update(std::uint64_t from, std::uint64_t next)
 {
-    directory_word made;
-    made.registry_from = from;
-    made.registry = {next, 100};
-    return made;
+    directory_word result;
+    result.registry_from = from;
+    result.registry = {next, 100};
+    return result;
 }
 
-registry_change change_of(std::uint64_t offset, std::string id, bool is_gone)
+registry_change make_change(std::uint64_t offset, std::string id, bool is_gone)
 {
     using enum registry_change::kind;
-    registry_change made{offset, is_gone ? gone : whole, {}};
-    made.entry.id = std::move(id);
-    return made;
+    registry_change result{offset, is_gone ? gone : whole, {}};
+    result.entry.id = std::move(id);
+    return result;
 }
 
 } // namespace
 
-Test(directory_words, changes_in_an_update_are_applied)
+Test(directory_updates, changes_in_an_update_are_applied)
 {
-    listed_directory test;
-    directory_word word = word_of(1, 10);
-    word.changes = {change_of(3, "e1", false), change_of(4, "e2", true)};
-    test.directory.word_heard(word);
+    directory_fixture test;
+    directory_word update = make_update(1, 10);
+    update.changes = {make_change(3, "e1", false), make_change(4, "e2", true)};
+    test.directory.word_heard(update);
     cr_assert_eq(test.listener.read.size(), 1);
     cr_assert_eq(test.listener.read[0].id, "e1");
     cr_assert_eq(test.listener.read[0].heard, 3);
@@ -167,27 +167,27 @@
 
 /// Guards against a repeated removal that deletes a server which has registered
 /// again since.
-Test(directory_words, a_repeated_change_is_ignored)
+Test(directory_updates, a_repeated_change_is_ignored)
 {
-    listed_directory test;
-    directory_word word = word_of(1, 5);
-    word.changes = {change_of(2, "e1", true)};
-    test.directory.word_heard(word);
-    test.directory.word_heard(word);
-    word = word_of(1, 9);
-    word.changes = {change_of(2, "e1", true), change_of(7, "e1", false)};
-    test.directory.word_heard(word);
+    directory_fixture test;
+    directory_word update = make_update(1, 5);
+    update.changes = {make_change(2, "e1", true)};
+    test.directory.word_heard(update);
+    test.directory.word_heard(update);
+    update = make_update(1, 9);
+    update.changes = {make_change(2, "e1", true), make_change(7, "e1", false)};
+    test.directory.word_heard(update);
     cr_assert_eq(test.listener.removed.size(), 1);
     cr_assert_eq(test.listener.read.size(), 1);
 }
 
-Test(directory_words, the_store_is_read_after_a_lost_update)
+Test(directory_updates, the_store_is_read_after_a_lost_update)
 {
-    listed_directory test;
+    directory_fixture test;
     const int before = test.store.reads();
-    directory_word word = word_of(8, 9);
-    word.changes = {change_of(8, "e1", false)};
-    test.directory.word_heard(word);
+    directory_word update = make_update(8, 9);
+    update.changes = {make_change(8, "e1", false)};
+    test.directory.word_heard(update);
     cr_assert(test.listener.read.empty());
     while (test.store.reads() == before)
         test.loop.run_one();
@@ -196,46 +196,46 @@
 /// Registry entries that expired during an outage of the store are kept until
 /// the servers had time to register again. Routers that did not notice the
 /// outage learn of it from updates, and must report it once.
-Test(directory_words, the_end_of_a_store_outage_is_reported_once)
+Test(directory_updates, the_end_of_a_store_outage_is_reported_once)
 {
-    listed_directory test;
-    directory_word word = word_of(1, 2);
-    word.back_for_us = 1000;
-    test.directory.word_heard(word);
-    word = word_of(2, 3);
-    word.back_for_us = 400'000;
-    test.directory.word_heard(word);
-    cr_assert_eq(test.listener.returns, 1);
+    directory_fixture test;
+    directory_word update = make_update(1, 2);
+    update.back_for_us = 1000;
+    test.directory.word_heard(update);
+    update = make_update(2, 3);
+    update.back_for_us = 400'000;
+    test.directory.word_heard(update);
+    cr_assert_eq(test.listener.recoveries, 1);
 }
 
 /// If the store refuses the owner's reads, a router with high capacity reads
 /// the store and sends updates, so that the others need not read.
-Test(directory_words, a_high_capacity_router_with_old_data_reads_and_sends)
+Test(directory_updates, a_high_capacity_router_with_old_data_reads_and_sends)
 {
-    listed_directory test(std::chrono::milliseconds(1));
+    directory_fixture test(std::chrono::milliseconds(1));
     test.store.answer_reads();
     test.run_until(
         [&]
         {
-            return !test.listener.told.empty();
+            return !test.listener.sent.empty();
         });
-    const directory_word& word = test.listener.told.front();
-    cr_assert_eq(word.registry.next, 1);
-    cr_assert_geq(word.registry.age_us, 0);
-    cr_assert_eq(word.registry_from, 1);
-    cr_assert(word.changes.empty());
+    const directory_word& update = test.listener.sent.front();
+    cr_assert_eq(update.registry.next, 1);
+    cr_assert_geq(update.registry.age_us, 0);
+    cr_assert_eq(update.registry_from, 1);
+    cr_assert(update.changes.empty());
 }
 
 /// Updates to hundreds of routers would saturate the link of a small VM.
-Test(directory_words, a_low_capacity_router_reads_but_does_not_send)
+Test(directory_updates, a_low_capacity_router_reads_but_does_not_send)
 {
-    listed_directory test(std::chrono::milliseconds(1), 4);
+    directory_fixture test(std::chrono::milliseconds(1), 4);
     test.run_until(
         [&]
         {
             return test.listener.routers;
         });
-    test.listener.told.clear();
+    test.listener.sent.clear();
     test.store.answer_reads();
     const int before = test.store.reads();
     test.run_until(
@@ -243,5 +243,5 @@
         {
             return test.store.reads() > before + 8;
         });
-    cr_assert(test.listener.told.empty());
+    cr_assert(test.listener.sent.empty());
 }
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -18,27 +18,27 @@
 namespace
 {
 
-class kept_words final : public gateway_peer_listener
+class recording_listener final : public gateway_peer_listener
 {
 public:
-    void router_word_heard(const router_word& word) override
+    void router_word_heard(const router_word& update) override
     {
-        this->routers.push_back(word);
+        this->routers.push_back(update);
     }
 
-    void owner_word_heard(const owner_word& word, std::string_view) override
+    void owner_word_heard(const owner_word& update, std::string_view) override
     {
-        this->owners.push_back(word);
+        this->owners.push_back(update);
     }
 
-    void break_word_heard(const break_word& word) override
+    void break_word_heard(const break_word& update) override
     {
-        this->breaks.push_back(word);
+        this->breaks.push_back(update);
     }
 
-    void directory_word_heard(const directory_word& word) override
+    void directory_word_heard(const directory_word& update) override
     {
-        this->directories.push_back(word);
+        this->directories.push_back(update);
     }
 
     void quota_ask_heard(const quota_ask& ask, std::string_view) override
@@ -51,9 +51,9 @@
         this->answers.push_back(answer);
     }
 
-    void server_limit_word_heard(const server_limit_word& word) override
+    void server_limit_word_heard(const server_limit_word& update) override
     {
-        this->limits.push_back(word);
+        this->limits.push_back(update);
     }
 
     std::vector<server_limit_word> limits;
@@ -66,9 +66,9 @@
 };
 
 /// A sender on an event loop that a test shares with a receiver.
-struct peers_pair
+struct peers_fixture
 {
-    peers_pair()
+    peers_fixture()
         : sender(this->loop, this->any, this->events, this->meter)
         , receiver_socket(this->loop, this->any)
     {
@@ -91,7 +91,7 @@
     return socket.local_endpoint();
 }
 
-std::string text_of(const udp::endpoint& endpoint)
+std::string to_text(const udp::endpoint& endpoint)
 {
     return (std::ostringstream() << endpoint).str();
 }
@@ -109,64 +109,66 @@
 
 Test(gateway_peers, updates_are_received_unchanged)
 {
-    peers_pair test;
-    const udp::endpoint place = free_endpoint();
-    gateway_peers receiver(test.loop, place, test.events, test.meter);
-    kept_words kept;
-    receiver.start(kept);
-    const std::string to[] = {text_of(place)};
-    router_word word{"r1", 5, 7, {{"llm/m1", 2, 100, 200}}, {}, {}};
-    word.uses = {{"llm/m1", "e1", 1, 3}};
-    word.unreached = {"e7"};
+    peers_fixture test;
+    const udp::endpoint receiver_address = free_endpoint();
+    gateway_peers receiver(
+        test.loop, receiver_address, test.events, test.meter);
+    recording_listener listener;
+    receiver.start(listener);
+    const std::string recipients[] = {to_text(receiver_address)};
+    router_word update{"r1", 5, 7, {{"llm/m1", 2, 100, 200}}, {}, {}};
+    update.uses = {{"llm/m1", "e1", 1, 3}};
+    update.unreached = {"e7"};
     owner_word owner{"r2", 9, 4, true, {}};
     owner.engines.push_back({"e1", 0, 9, 3, {{"m1", {"a1"}}}});
-    test.sender.send(to, word);
-    test.sender.send(to, owner);
-    test.sender.send(to, break_word{"r1", 77, "e1"});
+    test.sender.send(recipients, update);
+    test.sender.send(recipients, owner);
+    test.sender.send(recipients, break_word{"r1", 77, "e1"});
     run_until(
         test.loop,
         [&]
         {
-            return kept.routers.size() == 2 && !kept.breaks.empty();
+            return listener.routers.size() == 2 && !listener.breaks.empty();
         });
-    cr_assert_eq(kept.routers[0].needs[0].servable, "llm/m1");
-    cr_assert_eq(kept.routers[1].uses[0].started, 3);
-    cr_assert_eq(kept.routers[0].unreached.at(0), "e7");
-    cr_assert(kept.routers[1].unreached.empty()); // sent only once
-    cr_assert(kept.owners[0].leaves);
-    cr_assert_gt(kept.routers[1].sequence, kept.routers[0].sequence);
-    cr_assert_eq(kept.owners[0].engines[0].resident[0].adapters[0], "a1");
-    cr_assert_eq(kept.breaks[0].request, 77);
+    cr_assert_eq(listener.routers[0].needs[0].servable, "llm/m1");
+    cr_assert_eq(listener.routers[1].uses[0].started, 3);
+    cr_assert_eq(listener.routers[0].unreached.at(0), "e7");
+    cr_assert(listener.routers[1].unreached.empty()); // sent only once
+    cr_assert(listener.owners[0].leaves);
+    cr_assert_gt(listener.routers[1].sequence, listener.routers[0].sequence);
+    cr_assert_eq(listener.owners[0].engines[0].resident[0].adapters[0], "a1");
+    cr_assert_eq(listener.breaks[0].request, 77);
     receiver.stop();
 }
 
 Test(gateway_peers, limits_of_many_servers_are_split_into_packets)
 {
-    peers_pair test;
-    const udp::endpoint place = free_endpoint();
-    gateway_peers receiver(test.loop, place, test.events, test.meter);
-    kept_words kept;
-    receiver.start(kept);
+    peers_fixture test;
+    const udp::endpoint receiver_address = free_endpoint();
+    gateway_peers receiver(
+        test.loop, receiver_address, test.events, test.meter);
+    recording_listener listener;
+    receiver.start(listener);
     constexpr std::size_t servers = 50;
-    server_limit_word word{"r1", {}};
+    server_limit_word update{"r1", {}};
     for (std::size_t i = 0; i < servers; ++i)
-        word.limits.push_back({"i-" + std::to_string(i), 1.5, 700});
-    const std::string to[] = {text_of(place)};
-    test.sender.send(to, word);
+        update.limits.push_back({"i-" + std::to_string(i), 1.5, 700});
+    const std::string recipients[] = {to_text(receiver_address)};
+    test.sender.send(recipients, update);
     std::vector<told_server_limit> arrived;
     run_until(
         test.loop,
         [&]
         {
             arrived.clear();
-            for (const server_limit_word& part : kept.limits)
+            for (const server_limit_word& part : listener.limits)
                 arrived.insert(
                     arrived.end(), part.limits.begin(), part.limits.end());
             return arrived.size() == servers;
         });
     cr_assert_eq(arrived.size(), servers);
-    cr_assert_gt(kept.limits.size(), 1U);
-    cr_assert_eq(kept.limits[0].router, "r1");
+    cr_assert_gt(listener.limits.size(), 1U);
+    cr_assert_eq(listener.limits[0].router, "r1");
     cr_assert_eq(arrived.back().server, "i-49");
     cr_assert_eq(arrived.back().per_second, 1.5);
     cr_assert_eq(arrived.back().age_us, 700);
@@ -175,16 +177,17 @@
 
 Test(gateway_peers, directory_updates_are_split_without_a_gap)
 {
-    peers_pair test;
-    const udp::endpoint place = free_endpoint();
-    gateway_peers receiver(test.loop, place, test.events, test.meter);
-    kept_words kept;
-    receiver.start(kept);
+    peers_fixture test;
+    const udp::endpoint receiver_address = free_endpoint();
+    gateway_peers receiver(
+        test.loop, receiver_address, test.events, test.meter);
+    recording_listener listener;
+    receiver.start(listener);
     using enum registry_change::kind;
-    directory_word word;
-    word.registry_from = 10;
-    word.registry = {50, 700};
-    word.back_for_us = 30;
+    directory_word update;
+    update.registry_from = 10;
+    update.registry = {50, 700};
+    update.back_for_us = 30;
     for (std::uint64_t i = 0; i < 9; ++i)
     {
         registry_change change{
@@ -199,21 +202,21 @@
         change.entry.leaving = true;
         change.entry.holdings.resident = {
             {std::string(200, 'm'), {"a2"}}, {"m2", {}}};
-        word.changes.push_back(change);
+        update.changes.push_back(change);
     }
-    const std::string to[] = {text_of(place)};
-    test.sender.send(to, word);
+    const std::string recipients[] = {to_text(receiver_address)};
+    test.sender.send(recipients, update);
     run_until(
         test.loop,
         [&]
         {
-            return !kept.directories.empty() &&
-                   kept.directories.back().registry.next == 50;
+            return !listener.directories.empty() &&
+                   listener.directories.back().registry.next == 50;
         });
-    cr_assert_geq(kept.directories.size(), 2);
+    cr_assert_geq(listener.directories.size(), 2);
     std::vector<registry_change> changes;
     std::uint64_t from = 10;
-    for (const directory_word& part : kept.directories)
+    for (const directory_word& part : listener.directories)
     {
         cr_assert_eq(part.registry_from, from);
         cr_assert_eq(part.back_for_us, 30);
@@ -234,9 +237,9 @@
 
 Test(gateway_peers, long_updates_are_split_into_packets)
 {
-    peers_pair test;
-    const udp::endpoint place = free_endpoint();
-    udp::socket socket(test.loop, place);
+    peers_fixture test;
+    const udp::endpoint receiver_address = free_endpoint();
+    udp::socket socket(test.loop, receiver_address);
     owner_word owner{"r2", 9, 4, false, {}};
     for (int i = 0; i < 90; ++i)
         owner.engines.push_back(
@@ -247,8 +250,8 @@
              {{"model-name-1", {}},
               {"model-name-2", {}},
               {"model-name-3", {}}}});
-    const std::string to[] = {text_of(place)};
-    test.sender.send(to, owner);
+    const std::string recipients[] = {to_text(receiver_address)};
+    test.sender.send(recipients, owner);
     std::array<char, 65536> buffer;
     std::size_t packets = 0;
     socket.non_blocking(true);
@@ -266,55 +269,58 @@
 
 Test(gateway_peers, malformed_packets_are_dropped)
 {
-    peers_pair test;
-    const udp::endpoint place = free_endpoint();
-    gateway_peers receiver(test.loop, place, test.events, test.meter);
-    kept_words kept;
-    receiver.start(kept);
+    peers_fixture test;
+    const udp::endpoint receiver_address = free_endpoint();
+    gateway_peers receiver(
+        test.loop, receiver_address, test.events, test.meter);
+    recording_listener listener;
+    receiver.start(listener);
     udp::socket socket(test.loop, test.any);
     for (const std::string& bytes :
          {std::string(), std::string("x"), std::string(40, 'y')})
-        socket.send_to(asio::buffer(bytes), place);
+        socket.send_to(asio::buffer(bytes), receiver_address);
     run_until(
         test.loop,
         [&]
         {
             return receiver.rejected() == 3;
         });
-    cr_assert(kept.routers.empty());
+    cr_assert(listener.routers.empty());
     receiver.stop();
 }
 
 Test(gateway_peers, quota_messages_are_received_unchanged)
 {
-    peers_pair test;
-    const udp::endpoint place = free_endpoint();
-    gateway_peers receiver(test.loop, place, test.events, test.meter);
-    kept_words kept;
-    receiver.start(kept);
+    peers_fixture test;
+    const udp::endpoint receiver_address = free_endpoint();
+    gateway_peers receiver(
+        test.loop, receiver_address, test.events, test.meter);
+    recording_listener listener;
+    receiver.start(listener);
     quota_ask ask;
     ask.router = "r1";
     ask.heard_ago_us = 5;
     ask.counts_in_us = 7;
     ask.draws = {{1ULL << 40, "o1", 1540, 100'000}};
     ask.returns = {{"o2", 200}};
-    test.sender.send(text_of(place), ask);
-    test.sender.send(text_of(place), quota_answer{"r2", {{9, true, 20}}});
+    test.sender.send(to_text(receiver_address), ask);
+    test.sender.send(
+        to_text(receiver_address), quota_answer{"r2", {{9, true, 20}}});
     run_until(
         test.loop,
         [&]
         {
-            return !kept.asks.empty() && !kept.answers.empty();
+            return !listener.asks.empty() && !listener.answers.empty();
         });
-    cr_assert_eq(kept.asks[0].router, "r1");
-    cr_assert_eq(kept.asks[0].heard_ago_us, 5);
-    cr_assert_eq(kept.asks[0].counts_in_us, 7);
-    cr_assert_eq(kept.asks[0].draws[0].id, 1ULL << 40);
-    cr_assert_eq(kept.asks[0].draws[0].amount, 1540);
-    cr_assert_eq(kept.asks[0].returns[0].organisation, "o2");
-    cr_assert_eq(kept.answers[0].accountant, "r2");
-    cr_assert(kept.answers[0].results[0].is_allowed);
-    cr_assert_eq(kept.answers[0].results[0].wait_us, 20);
+    cr_assert_eq(listener.asks[0].router, "r1");
+    cr_assert_eq(listener.asks[0].heard_ago_us, 5);
+    cr_assert_eq(listener.asks[0].counts_in_us, 7);
+    cr_assert_eq(listener.asks[0].draws[0].id, 1ULL << 40);
+    cr_assert_eq(listener.asks[0].draws[0].amount, 1540);
+    cr_assert_eq(listener.asks[0].returns[0].organisation, "o2");
+    cr_assert_eq(listener.answers[0].accountant, "r2");
+    cr_assert(listener.answers[0].results[0].is_allowed);
+    cr_assert_eq(listener.answers[0].results[0].wait_us, 20);
     receiver.stop();
 }
 
@@ -326,14 +332,14 @@
         cereal::PortableBinaryOutputArchive archive(out);
         archive(std::string("r1"));
     }
-    std::string word = out.str();
+    std::string update = out.str();
     std::string read;
-    word_archive whole(word);
+    word_archive whole(update);
     whole(read);
     cr_assert_eq(read, "r1");
     // The length follows the byte order mark. This sets its highest byte.
-    word[7] = '\x7f';
-    word_archive forged(word);
+    update[7] = '\x7f';
+    word_archive forged(update);
     cr_assert_throw(forged(read), cereal::Exception);
     cr_assert_throw(word_archive(std::string_view()), cereal::Exception);
 }
--- a/tests/unit/users_platform/test_keyed_tail.cpp
+++ b/tests/unit/users_platform/test_keyed_tail.cpp
@@ -37,9 +37,9 @@
 
 /// Answers listings with no records and reads with two records of one key.
 /// Records the kind of each request.
-fake_backend::script store(std::vector<std::string>& asked)
+fake_backend::script serve_store(std::vector<std::string>& requested)
 {
-    return [&asked](backend_peer& peer)
+    return [&requested](backend_peer& peer)
     {
         while (true)
         {
@@ -47,7 +47,7 @@
             if (request.empty())
                 return;
             const bool listing = request.starts_with("GET /log-newest");
-            asked.push_back(listing ? "list" : "read");
+            requested.push_back(listing ? "list" : "read");
             peer.send(http_ok(
                 listing ? R"({"items":[],"end":0,"has_more":false})"
                         : two_versions()));
@@ -56,7 +56,7 @@
 }
 
 /// Runs a reader until it has passed on `count` records.
-std::vector<std::string> follow(
+std::vector<std::string> read_records(
     keyed_tail::options settings, const std::string& address, std::size_t count)
 {
     asio::io_context loop;
@@ -66,10 +66,10 @@
         *platform::parse_endpoint(address),
         store_client::options(),
         meter);
-    std::vector<std::string> told;
+    std::vector<std::string> values;
     keyed_tail* running = nullptr;
     const platform::system_clock clock;
-    keyed_tail tail(
+    keyed_tail reader(
         loop.get_executor(),
         clock,
         client,
@@ -77,19 +77,19 @@
         {[](const std::vector<keyed_record>&) {},
          [&](const keyed_record& record)
          {
-             told.push_back(*record.value);
-             if (told.size() == count)
+             values.push_back(*record.value);
+             if (values.size() == count)
                  running->stop();
          },
          [](bool) {}});
-    running = &tail;
-    asio::co_spawn(loop, tail.run(), asio::detached);
+    running = &reader;
+    asio::co_spawn(loop, reader.run(), asio::detached);
     loop.run_for(std::chrono::seconds(20));
-    return told;
+    return values;
 }
 
 /// A clock that a test advances.
-class set_clock final : public clock_port
+class manual_clock final : public clock_port
 {
 public:
     instant now() const override
@@ -107,15 +107,15 @@
 
 /// A reader that is not the primary reader, and relies on the updates of
 /// another router.
-struct following_tail
+struct reader_fixture
 {
-    explicit following_tail(keyed_tail::options settings = following())
+    explicit reader_fixture(keyed_tail::options settings = default_options())
         : client(
               this->loop.get_executor(),
               *platform::parse_endpoint(this->backend.address()),
               store_client::options(),
               this->meter)
-        , tail(
+        , reader(
               this->loop.get_executor(),
               this->clock,
               this->client,
@@ -127,15 +127,15 @@
                    ++this->calls;
                }})
     {
-        asio::co_spawn(this->loop, this->tail.run(), asio::detached);
+        asio::co_spawn(this->loop, this->reader.run(), asio::detached);
     }
 
-    static keyed_tail::options following()
+    static keyed_tail::options default_options()
     {
-        keyed_tail::options made;
-        made.topic = "keyed.servers";
-        made.most_age = std::chrono::hours(1);
-        return made;
+        keyed_tail::options result;
+        result.topic = "keyed.servers";
+        result.most_age = std::chrono::hours(1);
+        return result;
     }
 
     void run_until_calls(int count)
@@ -147,18 +147,18 @@
         this->loop.poll();
     }
 
-    std::vector<std::string> asked;
-    fake_backend backend{store(this->asked)};
+    std::vector<std::string> requested;
+    fake_backend backend{serve_store(this->requested)};
     asio::io_context loop;
     platform::byte_meter meter;
-    set_clock clock;
+    manual_clock clock;
     store_client client;
     int calls = 0;
-    keyed_tail tail;
+    keyed_tail reader;
 };
 
-const std::vector<std::string> listed_once{"list"};
-const std::vector<std::string> listed_and_read{"list", "read"};
+const std::vector<std::string> one_listing{"list"};
+const std::vector<std::string> listing_and_read{"list", "read"};
 
 } // namespace
 
@@ -166,67 +166,67 @@
 /// reads cost a sixth of the earnings.
 Test(keyed_tail, a_reader_that_receives_all_updates_does_not_read)
 {
-    following_tail test;
+    reader_fixture test;
     test.run_until_calls(1);
     for (std::uint64_t next = 0; next < 50; ++next)
-        cr_assert_eq(test.tail.heard(next, {next + 1, 10}).value(), next);
+        cr_assert_eq(test.reader.heard(next, {next + 1, 10}).value(), next);
     test.loop.poll();
-    cr_assert(test.asked == listed_once);
-    cr_assert_eq(test.tail.state().next, 50);
-    test.tail.stop();
+    cr_assert(test.requested == one_listing);
+    cr_assert_eq(test.reader.state().next, 50);
+    test.reader.stop();
     test.loop.poll();
 }
 
 Test(keyed_tail, missed_records_are_read_at_once)
 {
-    following_tail test;
+    reader_fixture test;
     test.run_until_calls(1);
-    cr_assert(!test.tail.heard(1, {2, 10}));
+    cr_assert(!test.reader.heard(1, {2, 10}));
     test.run_until_calls(2);
-    cr_assert(test.asked == listed_and_read);
-    test.tail.stop();
+    cr_assert(test.requested == listing_and_read);
+    test.reader.stop();
     test.loop.poll();
 }
 
 Test(keyed_tail, old_data_is_read_again_without_an_update)
 {
-    keyed_tail::options settings = following_tail::following();
+    keyed_tail::options settings = reader_fixture::default_options();
     settings.most_age = std::chrono::milliseconds(1);
-    following_tail test(settings);
+    reader_fixture test(settings);
     test.run_until_calls(1);
     test.clock.time += std::chrono::seconds(1);
     test.run_until_calls(2);
-    cr_assert(test.asked == listed_and_read);
-    test.tail.stop();
+    cr_assert(test.requested == listing_and_read);
+    test.reader.stop();
     test.loop.poll();
 }
 
 Test(keyed_tail, a_coalescing_reader_lists_instead_of_reading_missed_records)
 {
-    keyed_tail::options settings = following_tail::following();
-    settings.gather = std::chrono::milliseconds(1);
-    following_tail test(settings);
+    keyed_tail::options settings = reader_fixture::default_options();
+    settings.coalesce_delay = std::chrono::milliseconds(1);
+    reader_fixture test(settings);
     test.run_until_calls(1);
-    cr_assert(!test.tail.heard(3, {3, 10}));
+    cr_assert(!test.reader.heard(3, {3, 10}));
     test.run_until_calls(2);
     const std::vector<std::string> twice{"list", "list"};
-    cr_assert(test.asked == twice);
-    test.tail.stop();
+    cr_assert(test.requested == twice);
+    test.reader.stop();
     test.loop.poll();
 }
 
 Test(keyed_tail, only_the_primary_reader_reads_continuously)
 {
-    following_tail test;
+    reader_fixture test;
     test.run_until_calls(1);
-    test.tail.lead(true);
+    test.reader.lead(true);
     test.run_until_calls(3);
-    test.tail.lead(false);
+    test.reader.lead(false);
     test.loop.poll();
-    cr_assert_geq(test.asked.size(), 3);
-    cr_assert_eq(test.asked[1], "read");
-    cr_assert_eq(test.asked[2], "read");
-    test.tail.stop();
+    cr_assert_geq(test.requested.size(), 3);
+    cr_assert_eq(test.requested[1], "read");
+    cr_assert_eq(test.requested[2], "read");
+    test.reader.stop();
     test.loop.poll();
 }
 
@@ -234,29 +234,29 @@
 /// configurations of 60 KB per second, a 10 Mbit/s link delayed them by 3 s.
 Test(keyed_tail, a_coalescing_reader_skips_replaced_records)
 {
-    std::vector<std::string> asked;
-    fake_backend backend(store(asked));
+    std::vector<std::string> requested;
+    fake_backend backend(serve_store(requested));
     keyed_tail::options settings;
     settings.topic = "keyed.op";
-    settings.gather = std::chrono::milliseconds(1);
-    const auto told = follow(settings, backend.address(), 2);
+    settings.coalesce_delay = std::chrono::milliseconds(1);
+    const auto values = read_records(settings, backend.address(), 2);
     const std::vector<std::string> newest{"new", "new"};
-    cr_assert(told == newest);
+    cr_assert(values == newest);
     const std::vector<std::string> wanted{"list", "read", "list", "read"};
-    cr_assert(asked == wanted);
+    cr_assert(requested == wanted);
 }
 
 Test(keyed_tail, a_reader_that_does_not_coalesce_reads_every_record)
 {
-    std::vector<std::string> asked;
-    fake_backend backend(store(asked));
+    std::vector<std::string> requested;
+    fake_backend backend(serve_store(requested));
     keyed_tail::options settings;
     settings.topic = "keyed.servers";
-    const auto told = follow(settings, backend.address(), 4);
+    const auto values = read_records(settings, backend.address(), 4);
     const std::vector<std::string> all{"old", "new", "old", "new"};
-    cr_assert(told == all);
+    cr_assert(values == all);
     const std::vector<std::string> wanted{"list", "read", "read"};
-    cr_assert(asked == wanted);
+    cr_assert(requested == wanted);
 }
 
 /// Guards against overloading a store that is down: 70 routers with a fixed
--- a/tests/unit/users_platform/test_own_record.cpp
+++ b/tests/unit/users_platform/test_own_record.cpp
@@ -1,7 +1,7 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
 #include "fake_store.hpp"
-#include "no_copies.hpp"
+#include "null_copy_port.hpp"
 #include "platform/store_directory.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -21,7 +21,7 @@
 using namespace roseworks;
 using namespace roseworks::users_platform;
 using roseworks::users_platform::tests::fake_store;
-using roseworks::users_platform::tests::no_copies;
+using roseworks::users_platform::tests::null_copy_port;
 using namespace std::chrono_literals;
 namespace asio = boost::asio;
 
@@ -40,19 +40,19 @@
     return "append " + record(owned, run);
 }
 
-asio::awaitable<void> read_former(own_record& own, former_run& found)
+asio::awaitable<void> read_previous_run(own_record& own, former_run& found)
 {
-    found = co_await own.read_former();
+    found = co_await own.read_previous_run();
 }
 
-asio::awaitable<void> write_first(own_record& own)
+asio::awaitable<void> write_once(own_record& own)
 {
     co_await own.write(false);
 }
 
 asio::awaitable<void> read_and_write_twice(own_record& own)
 {
-    co_await own.read_former();
+    co_await own.read_previous_run();
     co_await own.write(false);
     co_await own.write(true);
 }
@@ -95,9 +95,9 @@
     void registry_back() override {}
     void store_read(const directory_word&) override {}
 
-    void tenure_changed(std::optional<placement_tenure> held) override
+    void tenure_changed(std::optional<placement_tenure> tenure) override
     {
-        this->heard = held;
+        this->last_tenure = tenure;
         this->loop.stop();
     }
 
@@ -108,7 +108,7 @@
     }
 
     asio::io_context& loop;
-    std::optional<placement_tenure> heard;
+    std::optional<placement_tenure> last_tenure;
     bool ended = false;
 };
 
@@ -123,13 +123,13 @@
 
 /// Runs a directory until this router owns placement.
 /// @return The calls that the store received.
-std::vector<std::string> until_owner(fake_store& store, duration lease)
+std::vector<std::string> run_until_owner(fake_store& store, duration lease)
 {
     asio::io_context loop;
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    no_copies copies;
+    null_copy_port copies;
     store_directory directory(
         loop, options_for(store, lease), clock, sink, meter, copies);
     tenure_listener listener(loop);
@@ -137,8 +137,8 @@
     directory.owner_heard(false);
     loop.run();
     directory.stop();
-    cr_assert(listener.heard.has_value());
-    cr_assert_eq(listener.heard->fence, 5);
+    cr_assert(listener.last_tenure.has_value());
+    cr_assert_eq(listener.last_tenure->fence, 5);
     return store.history();
 }
 
@@ -181,7 +181,7 @@
         run(store,
             [&found](own_record& own)
             {
-                return read_former(own, found);
+                return read_previous_run(own, found);
             });
         cr_assert(found == expected, "%s", left.c_str());
     }
@@ -192,7 +192,7 @@
 Test(own_record, an_append_without_an_answer_is_repeated_with_its_number)
 {
     fake_store store;
-    store.lose_answers(2);
+    store.drop_answers(2);
     run(store, read_and_write_twice);
     const std::vector<std::string> expected{
         appended(false, 1), "repeat", "repeat", appended(true, 1)};
@@ -202,8 +202,8 @@
 Test(own_record, a_fenced_run_takes_a_higher_number)
 {
     fake_store store;
-    store.seen_run("edge-1", 3);
-    run(store, write_first);
+    store.set_writer_run("edge-1", 3);
+    run(store, write_once);
     const std::vector<std::string> expected{
         "fenced", "fenced", appended(false, 4)};
     cr_assert(store.history() == expected);
@@ -217,7 +217,7 @@
     store.put("edge-1", record(false, 3));
     const std::vector<std::string> expected{
         appended(false, 4), "join", appended(true, 4)};
-    cr_assert(until_owner(store, std::chrono::hours(1)) == expected);
+    cr_assert(run_until_owner(store, std::chrono::hours(1)) == expected);
 }
 
 /// Guards against orders of two owners within one lease: the router may have
@@ -228,7 +228,7 @@
     store.put("edge-1", record(true, 3));
     const std::vector<std::string> expected{
         appended(true, 4), appended(false, 4), "join", appended(true, 4)};
-    cr_assert(until_owner(store, 50ms) == expected);
+    cr_assert(run_until_owner(store, 50ms) == expected);
 }
 
 /// The loss of an owner ends the delay between applications, but must not end
@@ -241,7 +241,7 @@
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    no_copies copies;
+    null_copy_port copies;
     store_directory directory(
         loop,
         options_for(store, std::chrono::hours(1)),
@@ -260,7 +260,7 @@
     directory.stop();
     const std::vector<std::string> expected{appended(true, 4)};
     cr_assert(store.history() == expected);
-    cr_assert(!listener.heard.has_value());
+    cr_assert(!listener.last_tenure.has_value());
 }
 
 /// Guards against needless changes of the owner: the store may reassign the
@@ -273,7 +273,7 @@
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    no_copies copies;
+    null_copy_port copies;
     store_directory directory(
         loop,
         options_for(store, std::chrono::hours(1)),
@@ -305,8 +305,8 @@
     store_directory::options settings = options_for(store, 1ms);
     settings.term = 60ms;
     settings.term_margin = 10ms;
-    settings.renewal = 10ms;
-    no_copies copies;
+    settings.renewal_interval = 10ms;
+    null_copy_port copies;
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
@@ -330,15 +330,15 @@
     const platform::system_clock clock;
     events::null_event_sink sink;
     store_directory::options settings = options_for(store, 1ms);
-    settings.renewal = 1ms;
-    no_copies copies;
+    settings.renewal_interval = 1ms;
+    null_copy_port copies;
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
     directory.owner_heard(false);
     loop.run();
     loop.restart();
-    directory.another_owns(listener.heard->fence + 1);
+    directory.another_owns(listener.last_tenure->fence + 1);
     directory.owner_heard(true);
     const int seen = store.reads();
     while (store.reads() < seen + 6)
@@ -362,9 +362,9 @@
     store_directory::options settings = options_for(store, 1ms);
     settings.term = 0ms; // expires at once
     settings.term_margin = 0ms;
-    settings.renewal = 1ms;
-    settings.listening = std::chrono::hours(1);
-    no_copies copies;
+    settings.renewal_interval = 1ms;
+    settings.post_term_wait = std::chrono::hours(1);
+    null_copy_port copies;
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
--- a/tests/unit/users_platform/test_store_frames.cpp
+++ b/tests/unit/users_platform/test_store_frames.cpp
@@ -70,7 +70,7 @@
     cr_assert(page.end == store_end::answered);
     cr_assert_eq(page.records.size(), 1);
     cr_assert_eq(*page.records[0].value, "{\"a\":1}");
-    cr_assert(page.more);
+    cr_assert(page.has_more);
     cr_assert_eq(page.next, 6);
     cr_assert(parse_newest("{\"items\":3}").end == store_end::malformed);
 }
