--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -2,7 +2,7 @@
 
 #include "adapters/settings/load_gateway_settings.hpp"
 #include "adapters/settings/settings_problems.hpp"
-#include "platform/dialect.hpp"
+#include "platform/header_names.hpp"
 
 #include <boost/asio/post.hpp>
 #include <boost/leaf/handle_errors.hpp>
@@ -240,7 +240,7 @@
     return {
         surroundings,
         make_forward_options(this->settings),
-        users_platform::make_dialect(),
+        users_platform::make_header_names(),
         std::move(ports),
         this->counts};
 }
--- a/src/app/gateway/gateway_options.cpp
+++ b/src/app/gateway/gateway_options.cpp
@@ -97,10 +97,11 @@
     made.term = std::max(made.term, settings.store.shortest_term);
     // One read may be lost, and one takes its time.
     constexpr std::chrono::milliseconds shortest_age{100};
-    made.registry_age =
+    made.registry_max_age =
         std::max(settings.bounds.leaving * 9 / 20, shortest_age);
-    made.config_age = std::max(settings.bounds.configuration / 2, shortest_age);
-    made.most_told_bytes = static_cast<std::size_t>(
+    made.config_max_age =
+        std::max(settings.bounds.configuration / 2, shortest_age);
+    made.max_update_bytes = static_cast<std::size_t>(
         settings.vm.link_mbps * bytes_per_mbit * told_share_of_link);
     made.lease = settings.bounds.lease;
     made.first_start = settings.vm.first_start;
--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -28,7 +28,7 @@
     {
     case 'c':
         if (const auto read = decode_deployment(text); read.value)
-            check(read.fault.empty());
+            check(read.invalid_field.empty());
         return;
     case 's':
         if (const auto read = decode_server("i", text); read.value)
@@ -44,7 +44,7 @@
         return;
     }
     case 'n':
-        static_cast<void>(parse_newest(text));
+        static_cast<void>(parse_listing(text));
         return;
     default:
         static_cast<void>(parse_membership(text, "placement"));
--- a/tests/unit/forward/forward_fixture.cpp
+++ b/tests/unit/forward/forward_fixture.cpp
@@ -1,6 +1,6 @@
 #include "forward_fixture.hpp"
 
-#include "platform/dialect.hpp"
+#include "platform/header_names.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/post.hpp>
@@ -179,7 +179,7 @@
     return {
         surroundings,
         forward_options(),
-        users_platform::make_dialect(),
+        users_platform::make_header_names(),
         std::move(ports),
         this->counts};
 }
--- a/tests/unit/forward/test_forward_request.cpp
+++ b/tests/unit/forward/test_forward_request.cpp
@@ -1,6 +1,6 @@
 #include "adapters/forward/forward_request.hpp"
 #include "adapters/forward/own_answer.hpp"
-#include "platform/dialect.hpp"
+#include "platform/header_names.hpp"
 
 #include <boost/asio/buffer.hpp>
 
@@ -22,7 +22,7 @@
     cr_assert(not error, "%s", error.message().c_str());
     cr_assert(parser.is_done());
     return make_forward_request(
-        parser, users_platform::make_dialect(), instant(1s));
+        parser, users_platform::make_header_names(), instant(1s));
 }
 
 const std::string_view usual =
@@ -49,7 +49,7 @@
 {
     const forward_request request = parse(usual);
     const std::string bytes = make_backend_bytes(
-        request, users_platform::make_dialect(), {1500ms, "i-7", 2U, {}});
+        request, users_platform::make_header_names(), {1500ms, "i-7", 2U, {}});
     cr_assert_eq(
         bytes,
         "POST /a/b?c HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 9c41\r\n"
@@ -62,7 +62,7 @@
 {
     const std::string bytes = make_backend_bytes(
         parse(usual),
-        users_platform::make_dialect(),
+        users_platform::make_header_names(),
         {1500ms, "i-7", {}, "19"});
     cr_assert_neq(bytes.find("Last-Event-Id: 19\r\n"), std::string::npos);
     cr_assert_eq(bytes.find("Last-Event-Id: 12"), std::string::npos);
@@ -87,7 +87,7 @@
         parse("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
               "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
     const std::string bytes = make_backend_bytes(
-        request, users_platform::make_dialect(), {1s, "", {}, {}});
+        request, users_platform::make_header_names(), {1s, "", {}, {}});
     cr_assert_eq(
         bytes,
         "POST / HTTP/1.1\r\nHost: h\r\nDeadline-Ms: 1000\r\n"
@@ -135,7 +135,7 @@
 {
     const std::string bytes = to_bytes(
         make_own_answer(refusal_reason::deadline, verdict::not_run, 250ms),
-        users_platform::make_dialect(),
+        users_platform::make_header_names(),
         "9c41",
         false,
         false);
--- a/tests/unit/late_configuration/test_late_configuration.cpp
+++ b/tests/unit/late_configuration/test_late_configuration.cpp
@@ -1,6 +1,6 @@
 #include "adapters/platform/system_clock.hpp"
 #include "fake_backend.hpp"
-#include "platform/keyed_tail.hpp"
+#include "platform/keyed_topic_reader.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -143,13 +143,13 @@
         this->loop.poll();
     }
 
-    static keyed_tail::options settings(std::chrono::milliseconds retry)
+    static keyed_topic_reader::options settings(std::chrono::milliseconds retry)
     {
-        keyed_tail::options made;
+        keyed_topic_reader::options made;
         made.topic = "keyed.op";
-        made.retry = retry;
-        made.longest_retry = retry;
-        made.most_age = std::chrono::hours(1);
+        made.retry_delay = retry;
+        made.max_retry_delay = retry;
+        made.max_age = std::chrono::hours(1);
         return made;
     }
 
@@ -194,7 +194,7 @@
     store_client client;
     std::vector<std::string> listed;
     int failures = 0;
-    keyed_tail tail;
+    keyed_topic_reader tail;
 };
 
 /// Sends an answer in pieces that together take longer than a call may take
@@ -225,19 +225,19 @@
 }
 
 /// The router becomes the owner while a copy comes.
-asio::awaitable<topic_state> copy_for_new_owner(keyed_tail& tail)
+asio::awaitable<topic_state> copy_for_new_owner(keyed_topic_reader& tail)
 {
-    tail.lead(true);
-    tail.list_anew();
+    tail.set_primary_reader(true);
+    tail.relist();
     co_return topic_state{9, 10};
 }
 
 /// It has owned for a moment when a copy comes.
-asio::awaitable<topic_state> copy_for_former_owner(keyed_tail& tail)
+asio::awaitable<topic_state> copy_for_former_owner(keyed_topic_reader& tail)
 {
-    tail.lead(true);
-    tail.list_anew();
-    tail.lead(false);
+    tail.set_primary_reader(true);
+    tail.relist();
+    tail.set_primary_reader(false);
     co_return topic_state{9, 10};
 }
 
@@ -261,8 +261,8 @@
               [](bool) {}}
     {
         this->settings.topic = "keyed.servers";
-        this->settings.copies_first = true;
-        this->settings.most_age = 1s;
+        this->settings.copies_before_store = true;
+        this->settings.max_age = 1s;
     }
 
     ~copying_tail()
@@ -308,11 +308,11 @@
     asio::io_context loop;
     platform::byte_meter meter;
     const platform::system_clock clock;
-    keyed_tail::options settings;
+    keyed_topic_reader::options settings;
     store_client client;
-    keyed_tail::handlers told;
+    keyed_topic_reader::handlers told;
     std::vector<std::string> listed;
-    std::optional<keyed_tail> tail;
+    std::optional<keyed_topic_reader> tail;
 };
 
 } // namespace
@@ -327,7 +327,7 @@
     test.store.will_answer(200, listing("b", false));
     test.start();
     cr_assert(test.run_until_listed({"a"}));
-    cr_assert(!test.tail.heard(5, {5, 10}));
+    cr_assert(!test.tail.apply_update(5, {5, 10}));
     cr_assert(test.run_until_listed({"a", "b"}), "the listing waits");
     cr_assert_eq(test.failures, 0);
 }
@@ -341,13 +341,13 @@
     test.store.will_answer(200, nothing_new());
     test.start();
     cr_assert(test.run_until_listed({"a"}));
-    cr_assert(!test.tail.heard(5, {5, 10}));
+    cr_assert(!test.tail.apply_update(5, {5, 10}));
     cr_assert(test.run_until(
         [&]
         {
             return test.failures == 1;
         }));
-    cr_assert(!test.tail.heard(6, {6, 10}));
+    cr_assert(!test.tail.apply_update(6, {6, 10}));
     cr_assert(test.run_until_calls(3), "the news waits for the pause");
 }
 
@@ -372,11 +372,11 @@
 {
     copying_tail test(std::chrono::hours(1));
     test.store.will_answer(200, listing("a", false));
-    test.told.asks_others = [](instant)
+    test.told.should_request_copy = [](instant)
     {
         return true;
     };
-    test.told.copy = [&]
+    test.told.request_copy = [&]
     {
         return copy_for_new_owner(*test.tail);
     };
@@ -391,7 +391,7 @@
     copying_tail test(std::chrono::hours(1));
     test.refuse_all();
     int copies = 0;
-    test.told.copy = [&]
+    test.told.request_copy = [&]
     {
         ++copies;
         return copy_for_former_owner(*test.tail);
@@ -408,7 +408,7 @@
 {
     copying_tail test(std::chrono::hours(1));
     test.refuse_all();
-    test.told.copy = old_copy;
+    test.told.request_copy = old_copy;
     test.start();
     test.run_turns();
     cr_assert_eq(test.store.asked().size(), 1);
@@ -438,6 +438,6 @@
             page = std::move(got);
         });
     loop.run();
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.records.size(), 1);
 }
--- a/tests/unit/users_platform/test_decoders.cpp
+++ b/tests/unit/users_platform/test_decoders.cpp
@@ -47,7 +47,7 @@
 Test(deployment_decoder, reads_routes_and_services)
 {
     const auto read = decode_deployment(configuration);
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     const deployment& made = *read.value;
     cr_assert_eq(made.version, 7);
     cr_assert_eq(made.routes.size(), 2);
@@ -79,7 +79,7 @@
         R"({"name":"o3","rate_per_s":5}],"limits")";
     const auto read =
         decode_deployment(with(configuration, "\"limits\"", tenants));
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     const auto& all = *read.value->organisations;
     cr_assert_eq(all.size(), 3);
     cr_assert_eq(all[0].name, "o1");
@@ -158,7 +158,7 @@
 Test(server_decoder, reads_an_engine)
 {
     const auto read = decode_server("i-1", entry);
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     cr_assert_eq(read.value->id, "i-1");
     cr_assert_eq(read.value->address, "10.0.0.9:8080");
     cr_assert_not(read.value->leaving);
@@ -211,7 +211,7 @@
         R"({"stage":"mixed","models":[{"name":"m1","version":1,"adapters":[]}],
         "busy":true,"seq":2,"queued":1,"running":12,"kv_used":41000,
         "kv_total":90000,"handles":0})");
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     cr_assert(read.value->busy);
     cr_assert_eq(read.value->orders_taken, 2);
     cr_assert_eq(read.value->running, 12);
@@ -225,7 +225,7 @@
         R"({"models":[{"name":"m1","version":1,"adapters":["a1"]}],
         "incoming":["m1/a2@1","m9/a3@1","odd",7],
         "busy":false,"seq":2,"queued":0,"running":0})");
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     const auto& adapters = read.value->holdings.resident[0].adapters;
     cr_assert_eq(adapters.size(), 2);
     cr_assert_eq(adapters[1], "a2");
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -1,7 +1,7 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
 #include "fake_backend.hpp"
-#include "platform/own_record.hpp"
+#include "platform/router_registration.hpp"
 #include "platform/store_directory.hpp"
 
 #include <boost/asio/io_context.hpp>
--- a/tests/unit/users_platform/test_directory_updates.cpp
+++ b/tests/unit/users_platform/test_directory_updates.cpp
@@ -111,8 +111,8 @@
         store_directory::options result;
         result.server = *platform::parse_endpoint(this->store.address());
         result.self = {"edge-1", "10.0.0.1:7380", 1};
-        result.registry_age = age;
-        result.config_age = age;
+        result.registry_max_age = age;
+        result.config_max_age = age;
         return result;
     }
 
--- a/tests/unit/users_platform/test_keyed_tail.cpp
+++ b/tests/unit/users_platform/test_keyed_topic_reader.cpp
@@ -1,7 +1,7 @@
 #include "adapters/platform/backoff.hpp"
 #include "adapters/platform/system_clock.hpp"
 #include "fake_backend.hpp"
-#include "platform/keyed_tail.hpp"
+#include "platform/keyed_topic_reader.hpp"
 #include "platform/store_frames.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -57,7 +57,9 @@
 
 /// Runs a reader until it has passed on `count` records.
 std::vector<std::string> read_records(
-    keyed_tail::options settings, const std::string& address, std::size_t count)
+    keyed_topic_reader::options settings,
+    const std::string& address,
+    std::size_t count)
 {
     asio::io_context loop;
     platform::byte_meter meter;
@@ -67,9 +69,9 @@
         store_client::options(),
         meter);
     std::vector<std::string> values;
-    keyed_tail* running = nullptr;
+    keyed_topic_reader* running = nullptr;
     const platform::system_clock clock;
-    keyed_tail reader(
+    keyed_topic_reader reader(
         loop.get_executor(),
         clock,
         client,
@@ -109,7 +111,8 @@
 /// another router.
 struct reader_fixture
 {
-    explicit reader_fixture(keyed_tail::options settings = default_options())
+    explicit reader_fixture(
+        keyed_topic_reader::options settings = default_options())
         : client(
               this->loop.get_executor(),
               *platform::parse_endpoint(this->backend.address()),
@@ -130,11 +133,11 @@
         asio::co_spawn(this->loop, this->reader.run(), asio::detached);
     }
 
-    static keyed_tail::options default_options()
+    static keyed_topic_reader::options default_options()
     {
-        keyed_tail::options result;
+        keyed_topic_reader::options result;
         result.topic = "keyed.servers";
-        result.most_age = std::chrono::hours(1);
+        result.max_age = std::chrono::hours(1);
         return result;
     }
 
@@ -154,7 +157,7 @@
     manual_clock clock;
     store_client client;
     int calls = 0;
-    keyed_tail reader;
+    keyed_topic_reader reader;
 };
 
 const std::vector<std::string> one_listing{"list"};
@@ -164,12 +167,13 @@
 
 /// Guards against every router reading the store by itself: with 300 VMs, these
 /// reads cost a sixth of the earnings.
-Test(keyed_tail, a_reader_that_receives_all_updates_does_not_read)
+Test(keyed_topic_reader, a_reader_that_receives_all_updates_does_not_read)
 {
     reader_fixture test;
     test.run_until_calls(1);
     for (std::uint64_t next = 0; next < 50; ++next)
-        cr_assert_eq(test.reader.heard(next, {next + 1, 10}).value(), next);
+        cr_assert_eq(
+            test.reader.apply_update(next, {next + 1, 10}).value(), next);
     test.loop.poll();
     cr_assert(test.requested == one_listing);
     cr_assert_eq(test.reader.state().next, 50);
@@ -177,21 +181,21 @@
     test.loop.poll();
 }
 
-Test(keyed_tail, missed_records_are_read_at_once)
+Test(keyed_topic_reader, missed_records_are_read_at_once)
 {
     reader_fixture test;
     test.run_until_calls(1);
-    cr_assert(!test.reader.heard(1, {2, 10}));
+    cr_assert(!test.reader.apply_update(1, {2, 10}));
     test.run_until_calls(2);
     cr_assert(test.requested == listing_and_read);
     test.reader.stop();
     test.loop.poll();
 }
 
-Test(keyed_tail, old_data_is_read_again_without_an_update)
+Test(keyed_topic_reader, old_data_is_read_again_without_an_update)
 {
-    keyed_tail::options settings = reader_fixture::default_options();
-    settings.most_age = std::chrono::milliseconds(1);
+    keyed_topic_reader::options settings = reader_fixture::default_options();
+    settings.max_age = std::chrono::milliseconds(1);
     reader_fixture test(settings);
     test.run_until_calls(1);
     test.clock.time += std::chrono::seconds(1);
@@ -201,13 +205,15 @@
     test.loop.poll();
 }
 
-Test(keyed_tail, a_coalescing_reader_lists_instead_of_reading_missed_records)
+Test(
+    keyed_topic_reader,
+    a_coalescing_reader_lists_instead_of_reading_missed_records)
 {
-    keyed_tail::options settings = reader_fixture::default_options();
+    keyed_topic_reader::options settings = reader_fixture::default_options();
     settings.coalesce_delay = std::chrono::milliseconds(1);
     reader_fixture test(settings);
     test.run_until_calls(1);
-    cr_assert(!test.reader.heard(3, {3, 10}));
+    cr_assert(!test.reader.apply_update(3, {3, 10}));
     test.run_until_calls(2);
     const std::vector<std::string> twice{"list", "list"};
     cr_assert(test.requested == twice);
@@ -215,13 +221,13 @@
     test.loop.poll();
 }
 
-Test(keyed_tail, only_the_primary_reader_reads_continuously)
+Test(keyed_topic_reader, only_the_primary_reader_reads_continuously)
 {
     reader_fixture test;
     test.run_until_calls(1);
-    test.reader.lead(true);
+    test.reader.set_primary_reader(true);
     test.run_until_calls(3);
-    test.reader.lead(false);
+    test.reader.set_primary_reader(false);
     test.loop.poll();
     cr_assert_geq(test.requested.size(), 3);
     cr_assert_eq(test.requested[1], "read");
@@ -232,11 +238,11 @@
 
 /// Guards against reading every configuration on a slow link: at ten
 /// configurations of 60 KB per second, a 10 Mbit/s link delayed them by 3 s.
-Test(keyed_tail, a_coalescing_reader_skips_replaced_records)
+Test(keyed_topic_reader, a_coalescing_reader_skips_replaced_records)
 {
     std::vector<std::string> requested;
     fake_backend backend(serve_store(requested));
-    keyed_tail::options settings;
+    keyed_topic_reader::options settings;
     settings.topic = "keyed.op";
     settings.coalesce_delay = std::chrono::milliseconds(1);
     const auto values = read_records(settings, backend.address(), 2);
@@ -246,11 +252,11 @@
     cr_assert(requested == wanted);
 }
 
-Test(keyed_tail, a_reader_that_does_not_coalesce_reads_every_record)
+Test(keyed_topic_reader, a_reader_that_does_not_coalesce_reads_every_record)
 {
     std::vector<std::string> requested;
     fake_backend backend(serve_store(requested));
-    keyed_tail::options settings;
+    keyed_topic_reader::options settings;
     settings.topic = "keyed.servers";
     const auto values = read_records(settings, backend.address(), 4);
     const std::vector<std::string> all{"old", "new", "old", "new"};
--- a/tests/unit/users_platform/test_own_record.cpp
+++ b/tests/unit/users_platform/test_router_registration.cpp
@@ -40,17 +40,18 @@
     return "append " + record(owned, run);
 }
 
-asio::awaitable<void> read_previous_run(own_record& own, former_run& found)
+asio::awaitable<void>
+read_previous_run(router_registration& own, former_run& found)
 {
     found = co_await own.read_previous_run();
 }
 
-asio::awaitable<void> write_once(own_record& own)
+asio::awaitable<void> write_once(router_registration& own)
 {
     co_await own.write(false);
 }
 
-asio::awaitable<void> read_and_write_twice(own_record& own)
+asio::awaitable<void> read_and_write_twice(router_registration& own)
 {
     co_await own.read_previous_run();
     co_await own.write(false);
@@ -60,7 +61,7 @@
 /// Runs a coroutine with a record of this router until it has ended.
 void run(
     fake_store& store,
-    const std::function<asio::awaitable<void>(own_record&)>& task)
+    const std::function<asio::awaitable<void>(router_registration&)>& task)
 {
     asio::io_context loop;
     platform::byte_meter meter;
@@ -69,7 +70,7 @@
         *platform::parse_endpoint(store.address()),
         store_client::options(),
         meter);
-    own_record own(loop.get_executor(), client, {self, 1ms, 1ms});
+    router_registration own(loop.get_executor(), client, {self, 1ms, 1ms});
     asio::co_spawn(loop, task(own), asio::detached);
     loop.run();
 }
@@ -153,7 +154,7 @@
     cr_assert_eq(ownership_wait(unknown, true, 3s), 1s);
 }
 
-Test(own_record, a_record_without_the_owned_field_counts_as_owned)
+Test(router_registration, a_record_without_the_owned_field_counts_as_owned)
 {
     const auto read =
         decode_router("edge-1", R"({"address":"10.0.0.1:7380","capacity":1})");
@@ -164,7 +165,7 @@
     cr_assert(!decode_router("edge-1", "[]"));
 }
 
-Test(own_record, reads_the_record_of_the_previous_run)
+Test(router_registration, reads_the_record_of_the_previous_run)
 {
     const std::pair<std::string, former_run> cases[] = {
         {"", former_run::unknown},
@@ -179,7 +180,7 @@
         store.put("edge-2", record(true, 9));
         former_run found = former_run::unknown;
         run(store,
-            [&found](own_record& own)
+            [&found](router_registration& own)
             {
                 return read_previous_run(own, found);
             });
@@ -189,7 +190,9 @@
 
 /// Guards against a delayed append that overwrites a later one: the record
 /// would then state that this run never owned placement.
-Test(own_record, an_append_without_an_answer_is_repeated_with_its_number)
+Test(
+    router_registration,
+    an_append_without_an_answer_is_repeated_with_its_number)
 {
     fake_store store;
     store.drop_answers(2);
@@ -199,7 +202,7 @@
     cr_assert(store.history() == expected);
 }
 
-Test(own_record, a_fenced_run_takes_a_higher_number)
+Test(router_registration, a_fenced_run_takes_a_higher_number)
 {
     fake_store store;
     store.set_writer_run("edge-1", 3);
--- a/tests/unit/users_platform/test_store_frames.cpp
+++ b/tests/unit/users_platform/test_store_frames.cpp
@@ -25,7 +25,7 @@
                              encode_keyed_record({"k1", "value"}) +
                              encode_keyed_record({"k2", std::nullopt});
     const keyed_page page = parse_keyed_frames(body, 10);
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.next, 12);
     cr_assert_eq(page.records.size(), 2);
     cr_assert_eq(page.records[0].key, "k1");
@@ -36,7 +36,7 @@
 Test(store_frames, an_empty_read_keeps_the_offset)
 {
     const keyed_page page = parse_keyed_frames(number(12) + number(3), 12);
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.next, 12);
 }
 
@@ -49,7 +49,8 @@
         head + "abc",
         head + std::string("\0\0\0\x09x", 5)};
     for (const std::string& text : broken)
-        cr_assert(parse_keyed_frames(text, 1).end == store_end::malformed);
+        cr_assert(
+            parse_keyed_frames(text, 1).outcome == store_outcome::malformed);
 }
 
 Test(store_frames, a_record_with_a_truncated_key_is_skipped)
@@ -63,16 +64,17 @@
 
 Test(store_frames, parses_a_listing_and_skips_invalid_items)
 {
-    const keyed_page page = parse_newest(
+    const keyed_page page = parse_listing(
         R"({"items":[{"key":"config","value":"eyJhIjoxfQ==","offset":4},
         {"key":"odd","value":"%%"},{"key":7,"value":"","offset":1}],
         "has_more":true,"end":6})");
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.records.size(), 1);
     cr_assert_eq(*page.records[0].value, "{\"a\":1}");
     cr_assert(page.has_more);
     cr_assert_eq(page.next, 6);
-    cr_assert(parse_newest("{\"items\":3}").end == store_end::malformed);
+    cr_assert(
+        parse_listing("{\"items\":3}").outcome == store_outcome::malformed);
 }
 
 Test(store_frames, parses_the_partitions_of_a_member)
@@ -81,7 +83,7 @@
         R"({"generation":7,"ttl_ms":3000,
         "parts":[["placement",3,840],["other",0,0],["placement",0,0]]})",
         "placement");
-    cr_assert(held.end == store_end::answered);
+    cr_assert(held.outcome == store_outcome::answered);
     cr_assert_eq(held.generation, 7);
     cr_assert_eq(held.partitions.size(), 2);
     cr_assert_eq(held.partitions[1], 0);
@@ -93,5 +95,6 @@
         R"({"generation":1,"parts":[["placement","0"]]})"};
     for (const std::string& text : broken)
         cr_assert(
-            parse_membership(text, "placement").end == store_end::malformed);
+            parse_membership(text, "placement").outcome ==
+            store_outcome::malformed);
 }
