--- a/tests/unit/users_platform/test_decoders.cpp
+++ b/tests/unit/users_platform/test_decoders.cpp
@@ -48,24 +48,24 @@
 {
     const auto read = decode_deployment(configuration);
     cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
-    const deployment& made = *read.value;
-    cr_assert_eq(made.version, 7);
-    cr_assert_eq(made.routes.size(), 2);
-    cr_assert(made.routes[0].kind == repetition::streaming);
-    cr_assert(made.routes[0].timeout == 11s);
-    cr_assert(made.routes[0].objective == 2500ms);
-    cr_assert(made.routes[0].longest_gap == 400ms);
-    cr_assert_not(made.routes[0].repeatable());
-    cr_assert(made.routes[1].repeatable());
-    cr_assert_eq(made.routes[1].services.size(), 2);
-    cr_assert_eq(made.routes[1].max_attempts, 2);
-    const service_profile* llm = made.find_service("llm");
+    const deployment& result = *read.value;
+    cr_assert_eq(result.version, 7);
+    cr_assert_eq(result.routes.size(), 2);
+    cr_assert(result.routes[0].kind == repetition::streaming);
+    cr_assert(result.routes[0].timeout == 11s);
+    cr_assert(result.routes[0].objective == 2500ms);
+    cr_assert(result.routes[0].longest_gap == 400ms);
+    cr_assert_not(result.routes[0].repeatable());
+    cr_assert(result.routes[1].repeatable());
+    cr_assert_eq(result.routes[1].services.size(), 2);
+    cr_assert_eq(result.routes[1].max_attempts, 2);
+    const service_profile* llm = result.find_service("llm");
     cr_assert_not_null(llm);
     cr_assert_eq(llm->engine->adapter_places, 8);
     cr_assert_eq(llm->engine->models[0].adapters, 56);
     cr_assert(llm->engine->models[0].load_from_disk == 780ms);
-    cr_assert_not(made.find_service("app")->engine.has_value());
-    cr_assert(made.callers.idle_timeout == 15s);
+    cr_assert_not(result.find_service("app")->engine.has_value());
+    cr_assert(result.callers.idle_timeout == 15s);
 }
 
 Test(deployment_decoder, reads_organisations)
