--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -118,12 +118,12 @@
         }
         directory_copy copy;
         copy.state = {this->next, 0};
-        const bool is_news = !request.knows_any || this->next > request.next;
-        if (is_news && request.topic == directory_topic::deployment)
+        const bool is_newer = !request.knows_any || this->next > request.next;
+        if (is_newer && request.topic == directory_topic::deployment)
             copy.configuration = R"({"version":)" +
                                  std::to_string(this->version) +
                                  R"(,"routes":[],"services":[]})";
-        if (is_news && request.topic == directory_topic::registry)
+        if (is_newer && request.topic == directory_topic::registry)
         {
             registry_change change{2, registry_change::kind::whole, {}};
             change.entry.id = "i-1";
--- a/tests/unit/users_platform/test_router_registration.cpp
+++ b/tests/unit/users_platform/test_router_registration.cpp
@@ -41,21 +41,21 @@
 }
 
 asio::awaitable<void>
-read_previous_run(router_registration& own, former_run& found)
+read_previous_run(router_registration& registration, former_run& found)
 {
-    found = co_await own.read_previous_run();
+    found = co_await registration.read_previous_run();
 }
 
-asio::awaitable<void> write_once(router_registration& own)
+asio::awaitable<void> write_once(router_registration& registration)
 {
-    co_await own.write(false);
+    co_await registration.write(false);
 }
 
-asio::awaitable<void> read_and_write_twice(router_registration& own)
+asio::awaitable<void> read_and_write_twice(router_registration& registration)
 {
-    co_await own.read_previous_run();
-    co_await own.write(false);
-    co_await own.write(true);
+    co_await registration.read_previous_run();
+    co_await registration.write(false);
+    co_await registration.write(true);
 }
 
 /// Runs a coroutine with a record of this router until it has ended.
@@ -70,8 +70,9 @@
         *platform::parse_endpoint(store.address()),
         store_client::options(),
         meter);
-    router_registration own(loop.get_executor(), client, {self, 1ms, 1ms});
-    asio::co_spawn(loop, task(own), asio::detached);
+    router_registration registration(
+        loop.get_executor(), client, {self, 1ms, 1ms});
+    asio::co_spawn(loop, task(registration), asio::detached);
     loop.run();
 }
 
@@ -180,9 +181,9 @@
         store.put("edge-2", record(true, 9));
         former_run found = former_run::unknown;
         run(store,
-            [&found](router_registration& own)
+            [&found](router_registration& registration)
             {
-                return read_previous_run(own, found);
+                return read_previous_run(registration, found);
             });
         cr_assert(found == expected, "%s", left.c_str());
     }
