--- a/tests/unit/users_platform/no_copies.hpp
+++ b/tests/unit/users_platform/null_copy_port.hpp
@@ -5,8 +5,8 @@
 namespace roseworks::users_platform::tests
 {
 
-/// No other router gives a copy.
-class no_copies final : public directory_copy_port
+/// Answers every request for a copy with nothing.
+class null_copy_port final : public directory_copy_port
 {
 public:
     void serve(directory_copy_source&) override {}
--- a/tests/unit/users_platform/test_decoders.cpp
+++ b/tests/unit/users_platform/test_decoders.cpp
@@ -47,25 +47,25 @@
 Test(deployment_decoder, reads_routes_and_services)
 {
     const auto read = decode_deployment(configuration);
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
-    const deployment& made = *read.value;
-    cr_assert_eq(made.version, 7);
-    cr_assert_eq(made.routes.size(), 2);
-    cr_assert(made.routes[0].kind == repetition::streaming);
-    cr_assert(made.routes[0].timeout == 11s);
-    cr_assert(made.routes[0].objective == 2500ms);
-    cr_assert(made.routes[0].longest_gap == 400ms);
-    cr_assert_not(made.routes[0].repeatable());
-    cr_assert(made.routes[1].repeatable());
-    cr_assert_eq(made.routes[1].services.size(), 2);
-    cr_assert_eq(made.routes[1].max_attempts, 2);
-    const service_profile* llm = made.find_service("llm");
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
+    const deployment& result = *read.value;
+    cr_assert_eq(result.version, 7);
+    cr_assert_eq(result.routes.size(), 2);
+    cr_assert(result.routes[0].kind == repetition::streaming);
+    cr_assert(result.routes[0].timeout == 11s);
+    cr_assert(result.routes[0].objective == 2500ms);
+    cr_assert(result.routes[0].longest_gap == 400ms);
+    cr_assert_not(result.routes[0].repeatable());
+    cr_assert(result.routes[1].repeatable());
+    cr_assert_eq(result.routes[1].services.size(), 2);
+    cr_assert_eq(result.routes[1].max_attempts, 2);
+    const service_profile* llm = result.find_service("llm");
     cr_assert_not_null(llm);
     cr_assert_eq(llm->engine->adapter_places, 8);
     cr_assert_eq(llm->engine->models[0].adapters, 56);
     cr_assert(llm->engine->models[0].load_from_disk == 780ms);
-    cr_assert_not(made.find_service("app")->engine.has_value());
-    cr_assert(made.callers.idle_timeout == 15s);
+    cr_assert_not(result.find_service("app")->engine.has_value());
+    cr_assert(result.callers.idle_timeout == 15s);
 }
 
 Test(deployment_decoder, reads_organisations)
@@ -79,7 +79,7 @@
         R"({"name":"o3","rate_per_s":5}],"limits")";
     const auto read =
         decode_deployment(with(configuration, "\"limits\"", tenants));
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     const auto& all = *read.value->organisations;
     cr_assert_eq(all.size(), 3);
     cr_assert_eq(all[0].name, "o1");
@@ -95,14 +95,14 @@
     cr_assert_eq(all[2].cost(1540), 1);
 }
 
-Test(deployment_decoder, an_empty_list_of_organisations_lets_nobody_in)
+Test(deployment_decoder, an_empty_list_of_organisations_differs_from_none)
 {
     const auto read = decode_deployment(
         with(configuration, "\"limits\"", R"("tenants":[],"limits")"));
     cr_assert(read.value->organisations && read.value->organisations->empty());
 }
 
-Test(deployment_decoder, a_route_may_be_open_to_callers_without_a_key)
+Test(deployment_decoder, a_route_may_allow_callers_without_a_key)
 {
     const auto read = decode_deployment(with(
         configuration,
@@ -112,7 +112,7 @@
     cr_assert_not(read.value->routes[1].keyless);
 }
 
-Test(deployment_decoder, refuses_organisations_that_it_cannot_read)
+Test(deployment_decoder, rejects_invalid_organisations)
 {
     for (const char* wrong :
          {"7",
@@ -131,14 +131,14 @@
     }
 }
 
-Test(deployment_decoder, an_unknown_kind_is_never_repeated)
+Test(deployment_decoder, a_route_of_unknown_kind_is_never_retried)
 {
     const auto read =
         decode_deployment(with(configuration, "idempotent", "unheard_of"));
     cr_assert(read.value->routes[1].kind == repetition::non_idempotent);
 }
 
-Test(deployment_decoder, refuses_what_it_cannot_read_whole)
+Test(deployment_decoder, rejects_a_configuration_with_an_invalid_part)
 {
     const std::string broken[] = {
         "",
@@ -158,7 +158,7 @@
 Test(server_decoder, reads_an_engine)
 {
     const auto read = decode_server("i-1", entry);
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     cr_assert_eq(read.value->id, "i-1");
     cr_assert_eq(read.value->address, "10.0.0.9:8080");
     cr_assert_not(read.value->leaving);
@@ -167,21 +167,22 @@
     cr_assert_eq(read.value->holdings.in_memory.size(), 1);
 }
 
-Test(server_decoder, a_draining_server_leaves)
+Test(server_decoder, a_draining_server_is_leaving)
 {
     const auto read = decode_server("i", with(entry, "ready", "draining"));
     cr_assert(read.value->leaving);
 }
 
-Test(server_decoder, tells_runs_of_a_server_apart_by_their_start)
+Test(server_decoder, reads_the_start_time_of_a_server_process)
 {
     const auto read =
         decode_server("i", with(entry, "\"seq\"", "\"born\":1234,\"seq\""));
     cr_assert_eq(read.value->born_ms, 1234);
 }
 
-/// Another writer's entry names no server to use.
-Test(server_decoder, refuses_entries_of_another_shape)
+/// Other writers may put invalid entries into the registry; they must not be
+/// used as servers.
+Test(server_decoder, rejects_invalid_entries)
 {
     const std::string broken[] = {
         "",
@@ -204,13 +205,13 @@
             decode_server("i", text).value.has_value(), "%s", text.c_str());
 }
 
-Test(report_decoder, reads_what_an_engine_holds_and_does)
+Test(report_decoder, reads_the_models_and_load_of_an_engine)
 {
     const auto read = decode_report(
         R"({"stage":"mixed","models":[{"name":"m1","version":1,"adapters":[]}],
         "busy":true,"seq":2,"queued":1,"running":12,"kv_used":41000,
         "kv_total":90000,"handles":0})");
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     cr_assert(read.value->busy);
     cr_assert_eq(read.value->orders_taken, 2);
     cr_assert_eq(read.value->running, 12);
@@ -218,13 +219,13 @@
     cr_assert_not(decode_report("{\"busy\":1}").value.has_value());
 }
 
-Test(report_decoder, adapters_on_their_way_take_their_places)
+Test(report_decoder, incoming_adapters_count_as_resident)
 {
     const auto read = decode_report(
         R"({"models":[{"name":"m1","version":1,"adapters":["a1"]}],
         "incoming":["m1/a2@1","m9/a3@1","odd",7],
         "busy":false,"seq":2,"queued":0,"running":0})");
-    cr_assert(read.value.has_value(), "%s", read.fault.c_str());
+    cr_assert(read.value.has_value(), "%s", read.invalid_field.c_str());
     const auto& adapters = read.value->holdings.resident[0].adapters;
     cr_assert_eq(adapters.size(), 2);
     cr_assert_eq(adapters[1], "a2");
--- a/tests/unit/users_platform/test_own_record.cpp
+++ b/tests/unit/users_platform/test_router_registration.cpp
@@ -1,7 +1,7 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
 #include "fake_store.hpp"
-#include "no_copies.hpp"
+#include "null_copy_port.hpp"
 #include "platform/store_directory.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -21,7 +21,7 @@
 using namespace roseworks;
 using namespace roseworks::users_platform;
 using roseworks::users_platform::tests::fake_store;
-using roseworks::users_platform::tests::no_copies;
+using roseworks::users_platform::tests::null_copy_port;
 using namespace std::chrono_literals;
 namespace asio = boost::asio;
 
@@ -40,27 +40,28 @@
     return "append " + record(owned, run);
 }
 
-asio::awaitable<void> read_former(own_record& own, previous_run& found)
+asio::awaitable<void>
+read_previous_run(router_registration& registration, previous_run& found)
 {
-    found = co_await own.read_former();
+    found = co_await registration.read_previous_run();
 }
 
-asio::awaitable<void> write_first(own_record& own)
+asio::awaitable<void> write_once(router_registration& registration)
 {
-    co_await own.write(false);
+    co_await registration.write(false);
 }
 
-asio::awaitable<void> read_and_write_twice(own_record& own)
+asio::awaitable<void> read_and_write_twice(router_registration& registration)
 {
-    co_await own.read_former();
-    co_await own.write(false);
-    co_await own.write(true);
+    co_await registration.read_previous_run();
+    co_await registration.write(false);
+    co_await registration.write(true);
 }
 
-/// Runs an own record's function to its end.
+/// Runs a coroutine with a record of this router until it has ended.
 void run(
     fake_store& store,
-    const std::function<asio::awaitable<void>(own_record&)>& task)
+    const std::function<asio::awaitable<void>(router_registration&)>& task)
 {
     asio::io_context loop;
     platform::byte_meter meter;
@@ -69,12 +70,13 @@
         *platform::parse_endpoint(store.address()),
         store_client::options(),
         meter);
-    own_record own(loop.get_executor(), client, {self, 1ms, 1ms});
-    asio::co_spawn(loop, task(own), asio::detached);
+    router_registration registration(
+        loop.get_executor(), client, {self, 1ms, 1ms});
+    asio::co_spawn(loop, task(registration), asio::detached);
     loop.run();
 }
 
-/// Hears of a tenure and of its end, and ends the loop then.
+/// Records a tenure and the end of its term, and stops the loop at each.
 class tenure_listener final : public directory_listener
 {
 public:
@@ -95,9 +97,9 @@
     void registry_back() override {}
     void store_read(const directory_word&) override {}
 
-    void tenure_changed(std::optional<placement_tenure> held) override
+    void tenure_changed(std::optional<placement_tenure> tenure) override
     {
-        this->heard = held;
+        this->last_tenure = tenure;
         this->loop.stop();
     }
 
@@ -108,7 +110,7 @@
     }
 
     asio::io_context& loop;
-    std::optional<placement_tenure> heard;
+    std::optional<placement_tenure> last_tenure;
     bool ended = false;
 };
 
@@ -121,14 +123,15 @@
     return settings;
 }
 
-/// Runs a directory until it was told of a tenure.
-std::vector<std::string> until_owner(fake_store& store, duration lease)
+/// Runs a directory until this router owns placement.
+/// @return The calls that the store received.
+std::vector<std::string> run_until_owner(fake_store& store, duration lease)
 {
     asio::io_context loop;
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    no_copies copies;
+    null_copy_port copies;
     store_directory directory(
         loop, options_for(store, lease), clock, sink, meter, copies);
     tenure_listener listener(loop);
@@ -136,14 +139,14 @@
     directory.owner_heard(false);
     loop.run();
     directory.stop();
-    cr_assert(listener.heard.has_value());
-    cr_assert_eq(listener.heard->fence, 5);
+    cr_assert(listener.last_tenure.has_value());
+    cr_assert_eq(listener.last_tenure->fence, 5);
     return store.history();
 }
 
 } // namespace
 
-Test(ownership_wait, follows_what_the_run_before_did)
+Test(ownership_wait, depends_on_the_previous_run)
 {
     using enum previous_run;
     cr_assert_eq(ownership_wait(never_owned, false, 3s), 0s);
@@ -152,7 +155,7 @@
     cr_assert_eq(ownership_wait(unknown, true, 3s), 1s);
 }
 
-Test(own_record, an_older_releases_record_counts_as_an_owners)
+Test(router_registration, a_record_without_the_owned_field_counts_as_owned)
 {
     const auto read =
         decode_router("edge-1", R"({"address":"10.0.0.1:7380","capacity":1})");
@@ -163,7 +166,7 @@
     cr_assert(!decode_router("edge-1", "[]"));
 }
 
-Test(own_record, tells_what_the_run_before_left)
+Test(router_registration, reads_the_record_of_the_previous_run)
 {
     const std::pair<std::string, previous_run> cases[] = {
         {"", previous_run::unknown},
@@ -178,58 +181,62 @@
         store.put("edge-2", record(true, 9));
         previous_run found = previous_run::unknown;
         run(store,
-            [&found](own_record& own)
+            [&found](router_registration& registration)
             {
-                return read_former(own, found);
+                return read_previous_run(registration, found);
             });
         cr_assert(found == expected, "%s", left.c_str());
     }
 }
 
-/// What was sent before must not come after: the record would say that this
-/// run never owned.
-Test(own_record, a_lost_answer_is_asked_for_again_under_its_number)
+/// Guards against a delayed append that overwrites a later one: the record
+/// would then state that this run never owned placement.
+Test(
+    router_registration,
+    an_append_without_an_answer_is_repeated_with_its_number)
 {
     fake_store store;
-    store.lose_answers(2);
+    store.drop_answers(2);
     run(store, read_and_write_twice);
     const std::vector<std::string> expected{
         appended(false, 1), "repeat", "repeat", appended(true, 1)};
     cr_assert(store.history() == expected);
 }
 
-Test(own_record, a_run_that_is_not_the_last_seen_takes_a_higher_number)
+Test(router_registration, a_fenced_run_takes_a_higher_number)
 {
     fake_store store;
-    store.seen_run("edge-1", 3);
-    run(store, write_first);
+    store.set_writer_run("edge-1", 3);
+    run(store, write_once);
     const std::vector<std::string> expected{
         "fenced", "fenced", appended(false, 4)};
     cr_assert(store.history() == expected);
 }
 
-/// All VMs were killed at once: with an hour's lease this test would not end
-/// if the router waited for it.
+/// Guards against a needless wait after all VMs were killed at once. With a
+/// lease of one hour, the test times out if the router waits for the lease.
 Test(store_directory, a_router_that_never_owned_applies_at_once)
 {
     fake_store store;
     store.put("edge-1", record(false, 3));
     const std::vector<std::string> expected{
         appended(false, 4), "join", appended(true, 4)};
-    cr_assert(until_owner(store, std::chrono::hours(1)) == expected);
+    cr_assert(run_until_owner(store, std::chrono::hours(1)) == expected);
 }
 
-/// It may have ordered engines until it was killed, and another owner since.
+/// Guards against orders of two owners within one lease: the router may have
+/// sent orders until it was killed, and another owner may have done so since.
 Test(store_directory, a_router_that_owned_applies_after_the_lease)
 {
     fake_store store;
     store.put("edge-1", record(true, 3));
     const std::vector<std::string> expected{
         appended(true, 4), appended(false, 4), "join", appended(true, 4)};
-    cr_assert(until_owner(store, 50ms) == expected);
+    cr_assert(run_until_owner(store, 50ms) == expected);
 }
 
-/// Missing an owner ends the pauses between applications, but not this wait.
+/// The loss of an owner ends the delay between applications, but must not end
+/// the wait for the lease.
 Test(store_directory, a_router_that_owned_does_not_apply_within_the_lease)
 {
     fake_store store;
@@ -238,7 +245,7 @@
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    no_copies copies;
+    null_copy_port copies;
     store_directory directory(
         loop,
         options_for(store, std::chrono::hours(1)),
@@ -257,11 +264,12 @@
     directory.stop();
     const std::vector<std::string> expected{appended(true, 4)};
     cr_assert(store.history() == expected);
-    cr_assert(!listener.heard.has_value());
+    cr_assert(!listener.last_tenure.has_value());
 }
 
-/// The store may move the ownership when it learns of a member.
-Test(store_directory, nobody_applies_while_an_owner_is_heard)
+/// Guards against needless changes of the owner: the store may reassign the
+/// ownership whenever a member joins.
+Test(store_directory, a_router_does_not_apply_while_there_is_an_owner)
 {
     fake_store store;
     store.put("edge-1", record(false, 3));
@@ -269,7 +277,7 @@
     platform::byte_meter meter;
     const platform::system_clock clock;
     events::null_event_sink sink;
-    no_copies copies;
+    null_copy_port copies;
     store_directory directory(
         loop,
         options_for(store, std::chrono::hours(1)),
@@ -287,9 +295,9 @@
     cr_assert(store.history() == expected);
 }
 
-/// A store that turns its owner away, and serves the others: they are to know
-/// when they may apply.
-Test(store_directory, the_end_of_a_term_that_is_not_renewed_is_told)
+/// The store may refuse the renewals of the owner while it serves the other
+/// routers. They have to be notified when they may apply.
+Test(store_directory, the_end_of_a_term_without_renewal_is_reported)
 {
     fake_store store;
     store.put("edge-1", record(false, 3));
@@ -301,8 +309,8 @@
     store_directory::options settings = options_for(store, 1ms);
     settings.term = 60ms;
     settings.term_margin = 10ms;
-    settings.renewal = 10ms;
-    no_copies copies;
+    settings.renewal_interval = 10ms;
+    null_copy_port copies;
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
@@ -315,9 +323,9 @@
     directory.stop();
 }
 
-/// Cut off from the store for a while, the owner before renewed when it was
-/// back, and the store moved the ownership once more.
-Test(store_directory, an_owner_that_another_followed_does_not_renew)
+/// Guards against an owner that renews after it was disconnected from the store
+/// and replaced: the store reassigned the ownership once more.
+Test(store_directory, a_replaced_owner_does_not_renew)
 {
     fake_store store;
     store.put("edge-1", record(false, 3));
@@ -326,15 +334,15 @@
     const platform::system_clock clock;
     events::null_event_sink sink;
     store_directory::options settings = options_for(store, 1ms);
-    settings.renewal = 1ms;
-    no_copies copies;
+    settings.renewal_interval = 1ms;
+    null_copy_port copies;
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
     directory.owner_heard(false);
     loop.run();
     loop.restart();
-    directory.another_owns(listener.heard->fence + 1);
+    directory.another_owns(listener.last_tenure->fence + 1);
     directory.owner_heard(true);
     const int seen = store.reads();
     while (store.reads() < seen + 6)
@@ -344,9 +352,10 @@
     cr_assert_eq(std::ranges::count(done, "join"), 1);
 }
 
-/// Woken from a freeze, an owner renewed before it heard of the one after it,
-/// and the store moved the ownership back and forth.
-Test(store_directory, an_owner_whose_term_has_ended_listens_before_it_renews)
+/// Guards against an owner that resumes after a process freeze and renews
+/// before it receives the update of its successor: the store moved the
+/// ownership back and forth.
+Test(store_directory, an_owner_waits_before_it_renews_an_expired_term)
 {
     fake_store store;
     store.put("edge-1", record(false, 3));
@@ -355,11 +364,11 @@
     const platform::system_clock clock;
     events::null_event_sink sink;
     store_directory::options settings = options_for(store, 1ms);
-    settings.term = 0ms; // over as soon as it was given
+    settings.term = 0ms; // expires at once
     settings.term_margin = 0ms;
-    settings.renewal = 1ms;
-    settings.listening = std::chrono::hours(1);
-    no_copies copies;
+    settings.renewal_interval = 1ms;
+    settings.post_term_wait = std::chrono::hours(1);
+    null_copy_port copies;
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
--- a/tests/unit/users_platform/test_store_frames.cpp
+++ b/tests/unit/users_platform/test_store_frames.cpp
@@ -19,28 +19,28 @@
 
 } // namespace
 
-Test(store_frames, reads_back_what_it_writes)
+Test(store_frames, encoded_records_can_be_parsed)
 {
     const std::string body = number(12) + number(3) +
                              encode_keyed_record({"k1", "value"}) +
                              encode_keyed_record({"k2", std::nullopt});
     const keyed_page page = parse_keyed_frames(body, 10);
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.next, 12);
     cr_assert_eq(page.records.size(), 2);
     cr_assert_eq(page.records[0].key, "k1");
     cr_assert_eq(*page.records[0].value, "value");
-    cr_assert_not(page.records[1].value.has_value(), "the key is dropped");
+    cr_assert_not(page.records[1].value.has_value(), "the key is deleted");
 }
 
-Test(store_frames, an_empty_read_moves_nothing)
+Test(store_frames, an_empty_read_keeps_the_offset)
 {
     const keyed_page page = parse_keyed_frames(number(12) + number(3), 12);
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.next, 12);
 }
 
-Test(store_frames, refuses_lengths_beyond_the_bytes)
+Test(store_frames, lengths_beyond_the_buffer_are_malformed)
 {
     const std::string head = number(12) + number(3);
     const std::string broken[] = {
@@ -49,39 +49,41 @@
         head + "abc",
         head + std::string("\0\0\0\x09x", 5)};
     for (const std::string& text : broken)
-        cr_assert(parse_keyed_frames(text, 1).end == store_end::malformed);
+        cr_assert(
+            parse_keyed_frames(text, 1).outcome == store_outcome::malformed);
 }
 
-Test(store_frames, a_record_without_a_whole_key_is_passed_over)
+Test(store_frames, a_record_with_a_truncated_key_is_skipped)
 {
     const std::string odd = std::string("\0\0\0\x02", 4) + "\x09z";
     const keyed_page page = parse_keyed_frames(
         number(2) + number(0) + odd + encode_keyed_record({"k", "v"}), 0);
     cr_assert_eq(page.records.size(), 1);
-    cr_assert_eq(page.next, 2, "but it counts");
+    cr_assert_eq(page.next, 2, "the skipped record still takes an offset");
 }
 
-Test(store_frames, reads_a_listing)
+Test(store_frames, parses_a_listing_and_skips_invalid_items)
 {
-    const keyed_page page = parse_newest(
+    const keyed_page page = parse_listing(
         R"({"items":[{"key":"config","value":"eyJhIjoxfQ==","offset":4},
         {"key":"odd","value":"%%"},{"key":7,"value":"","offset":1}],
         "has_more":true,"end":6})");
-    cr_assert(page.end == store_end::answered);
+    cr_assert(page.outcome == store_outcome::answered);
     cr_assert_eq(page.records.size(), 1);
     cr_assert_eq(*page.records[0].value, "{\"a\":1}");
-    cr_assert(page.more);
+    cr_assert(page.has_more);
     cr_assert_eq(page.next, 6);
-    cr_assert(parse_newest("{\"items\":3}").end == store_end::malformed);
+    cr_assert(
+        parse_listing("{\"items\":3}").outcome == store_outcome::malformed);
 }
 
-Test(store_frames, reads_what_a_member_holds)
+Test(store_frames, parses_the_partitions_of_a_member)
 {
     const group_membership held = parse_membership(
         R"({"generation":7,"ttl_ms":3000,
         "parts":[["placement",3,840],["other",0,0],["placement",0,0]]})",
         "placement");
-    cr_assert(held.end == store_end::answered);
+    cr_assert(held.outcome == store_outcome::answered);
     cr_assert_eq(held.generation, 7);
     cr_assert_eq(held.partitions.size(), 2);
     cr_assert_eq(held.partitions[1], 0);
@@ -93,5 +95,6 @@
         R"({"generation":1,"parts":[["placement","0"]]})"};
     for (const std::string& text : broken)
         cr_assert(
-            parse_membership(text, "placement").end == store_end::malformed);
+            parse_membership(text, "placement").outcome ==
+            store_outcome::malformed);
 }
