--- a/src/core/pacing/server_limit.hpp
+++ b/src/core/pacing/server_limit.hpp
@@ -7,13 +7,13 @@
 namespace roseworks
 {
 
-/// What a backend server said of the requests that it takes from all routers
-/// together.
+/// The request rate that a backend server accepts from all routers together, as
+/// announced by the server.
 struct server_limit
 {
-    std::string server;    ///< id of its entry
-    double per_second = 0; ///< 0: it names no limit
-    instant seen;          ///< it said so then, by this router's clock
+    std::string server;    ///< id of the server's registry entry
+    double per_second = 0; ///< 0: the server announces no limit
+    instant seen;          ///< time of the announcement, by this router's clock
 };
 
 } // namespace roseworks
--- a/src/core/pacing/server_limit_word.hpp
+++ b/src/core/pacing/server_limit_word.hpp
@@ -7,12 +7,12 @@
 namespace roseworks
 {
 
-/// A server's limit as it is told to other routers. Ages in place of times:
-/// routers' clocks can't be compared.
+/// A server's limit as sent to other routers. It carries an age instead of a
+/// timestamp because the clocks of different routers can't be compared.
 struct told_server_limit
 {
-    std::string server;    ///< id of its entry
-    double per_second = 0; ///< 0: it names no limit any more
+    std::string server;    ///< id of the server's registry entry
+    double per_second = 0; ///< 0: the limit has ended
     std::int64_t age_us = 0;
 
     template <class Archive>
@@ -22,8 +22,9 @@
     }
 };
 
-/// A router's word to all others of limits that changed, or still hold. A lost
-/// one is told again; a router that missed it learns with its next answer.
+/// Message from one router to all others about limits that changed or still
+/// hold. The message is repeated in case packets are lost. A router that misses
+/// every copy learns the limit from the next answer of the server.
 struct server_limit_word
 {
     std::string router;
--- a/src/core/pacing/server_limits.cpp
+++ b/src/core/pacing/server_limits.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-/// A server that takes less is sent so much: its answers have to tell when the
-/// limit ends.
+/// Floor for announced limits. A limited server must still get some requests,
+/// because its answers show when the limit ends.
 constexpr double least_per_second = 0.02;
 
-/// More than any server takes.
+/// Above the rate of any real server.
 constexpr double most_per_second = 1e6;
 
-/// Longer than any age in a word that makes sense.
+/// Cap for ages in received messages (one hour).
 constexpr std::int64_t longest_us = 3'600'000'000;
 
 double bounded(double per_second)
@@ -79,7 +79,7 @@
                                : this->take(*one, 0, sent);
     if (changed)
         one->tellings_left = this->settings.tellings;
-    // One that is another in each answer isn't told with each of them.
+    // Limits the message rate when a server changes its limit in each answer.
     const duration pause =
         changed ? this->settings.telling_pause : this->settings.confirm_pause;
     if (was_limited != named.has_value() || now - one->told >= pause)
@@ -103,7 +103,8 @@
         const double per_second =
             told.per_second == 0 ? 0 : bounded(told.per_second);
         if (this->take(*one, per_second, seen))
-            one->tellings_left = 0; // the one that saw it tells
+            one->tellings_left =
+                0; // the router that observed the change repeats it
         one->told = now;
     }
 }
--- a/src/core/pacing/server_limits.hpp
+++ b/src/core/pacing/server_limits.hpp
@@ -16,44 +16,49 @@
 namespace roseworks
 {
 
-/** What this router knows of the limits that backend servers name.
+/** Tracks the rate limits that backend servers announce.
 
-    A server names its limit in answers, for as long as it holds. The newest
-    word counts: an own answer's, or another router's. An answer without one
-    ends a limit only when its request was sent after the limit was last seen,
-    as answers on different connections overtake each other.
+    A server announces its limit in its answers for as long as the limit holds.
+    The newest information wins, whether it comes from an answer to this router
+    or from another router. Answers on different connections can overtake each
+    other. Therefore an answer without a limit ends a known limit only when its
+    request was sent after the limit was last seen.
 
-    A limited server still gets requests, so that its answers tell when the
-    limit ends: what is known isn't given up by its age but long after the last
-    word. Pure: time comes in, words and changes go out. Hint.
+    A limited server still gets requests, so its answers show when the limit
+    ends. A limit expires only long after it was last seen.
+
+    The class does no I/O and reads no clock: callers pass in the time and
+    collect messages and changes. The data is advisory.
 */
 class server_limits
 {
 public:
     struct options
     {
-        std::string router; ///< this one's name
-        /// A change is told this often in all: words may be lost.
+        std::string router; ///< name of this router
+        /// Number of times that a change is sent, as messages may be lost.
         int tellings = 3;
-        /// Between them.
+        /// Time between two messages about the same change.
         duration telling_pause = std::chrono::milliseconds(150);
-        /// A limit that holds is told again after so long, by one who has just
-        /// seen it.
+        /// Minimum time between messages that confirm an unchanged limit. Only
+        /// a router that has just seen the limit sends them.
         duration confirm_pause = std::chrono::seconds(1);
-        /// An ended limit is remembered, for older words that come later.
+        /// How long an ended limit is kept, so that older messages that arrive
+        /// late don't bring it back.
         duration end_memory = std::chrono::seconds(10);
-        /// Nobody sent anything to the server for so long.
+        /// A limit expires when it was not seen for this long, that is, when no
+        /// router sent the server anything.
         duration lifetime = std::chrono::seconds(60);
-        /// Of servers that are remembered; others' limits aren't kept.
+        /// Limits of further servers are ignored.
         std::size_t most_servers = 1024;
     };
 
     explicit server_limits(options settings);
 
-    /** An answer of a server came.
+    /** Processes an answer of a server.
 
-        @param named Requests a second; empty: it named no limit.
-        @param sent  When its request was sent.
+        @param named Requests per second; empty when the answer has no limit.
+        @param sent  When the request of this answer was sent.
     */
     void answered(
         std::string_view server,
@@ -61,39 +66,39 @@
         instant sent,
         instant now);
 
-    /// Another router's word.
+    /// Processes a message of another router.
     void heard(const server_limit_word& word, instant now);
 
-    /// The server is gone, or was started anew.
+    /// Drops the limit of a server that is gone or was restarted.
     void forget(std::string_view server);
 
     void tick(instant now);
 
-    /// @return When `tick` has work next; empty while nothing is known.
+    /// @return When `tick` has work next; empty when no limit is known.
     std::optional<instant> next_tick() const;
 
-    /// @return Requests a second; 0: no limit is known.
+    /// @return Requests per second; 0 when no limit is known.
     double limit_of(std::string_view server) const;
 
-    /// @return Limits in force, by server.
+    /// @return Limits in force, ordered by server.
     std::vector<server_limit> in_force() const;
 
     /// @return Limits that began, changed or ended since the last call.
     std::vector<server_limit> take_changes();
 
-    /// @return What all others are to be told now.
+    /// @return The message to send to all other routers now, if any.
     std::optional<server_limit_word> take_word(instant now);
 
 private:
     struct entry
     {
         server_limit limit;
-        instant told; ///< last, by whomever
+        instant told; ///< last message about it, from any router
         int tellings_left = 0;
     };
 
     entry* find_or_add(std::string_view server);
-    /// @return Whether the limit is another one now.
+    /// @return Whether the limit changed.
     bool take(entry& known, double per_second, instant seen);
     void tell(entry& known, instant now);
 
--- a/src/core/quota/counted_limits.cpp
+++ b/src/core/quota/counted_limits.cpp
@@ -6,7 +6,8 @@
 namespace
 {
 
-/// No organisation's name begins with a control character.
+/// Can't clash with an organisation: names don't begin with a control
+/// character.
 constexpr std::string_view server_prefix = "\x01server ";
 
 } // namespace
--- a/src/core/quota/counted_limits.hpp
+++ b/src/core/quota/counted_limits.hpp
@@ -11,34 +11,35 @@
 namespace roseworks
 {
 
-/// A limit that is one sum over all routers.
+/// A rate limit that applies to the sum of the usage at all routers.
 struct counted_limit
 {
     usage_limit whole;
-    double slack = 0; ///< beside it, in a window
-    /// A router that counts by itself may save up so much, however small its
-    /// part of the limit is.
+    double slack = 0; ///< tolerated on top of the limit in each window
+    /// Minimum burst of a router that enforces its share locally, however small
+    /// that share is.
     double least_burst = 0;
 };
 
-/// By the name of the account that draws are counted in.
+/// Limits by account name.
 using counted_limits = std::map<std::string, counted_limit, std::less<>>;
 
-/// @return What the configuration sets for organisations, by their names.
+/// @return The limits that the configuration sets, by organisation name.
 counted_limits
 limits_of(const deployment& configuration, const quota_bounds& bounds);
 
-/// @return The limit that a backend server named.
+/// @return The limit for a rate that a backend server announced.
 counted_limit limit_of_server(double per_second);
 
-/// @return The account of a backend server's limit.
-/// @param server id of its entry.
+/// @return The account name for a backend server's limit.
+/// @param server id of its registry entry.
 std::string server_account(std::string_view server);
 
-/// @return Whether an account is one of a backend server.
+/// @return Whether the account belongs to a backend server.
 bool is_server_account(std::string_view account);
 
-/// @return id of the server's entry; the account has to be one of a server.
+/// @return id of the server's registry entry.
+/// @param account Must belong to a backend server.
 std::string_view server_of_account(std::string_view account);
 
 } // namespace roseworks
--- a/src/core/quota/limit_share.hpp
+++ b/src/core/quota/limit_share.hpp
@@ -10,22 +10,24 @@
 namespace roseworks
 {
 
-/// What is given for the sums of limits over all routers.
+/// How far the sum over all routers may exceed a limit.
 struct quota_bounds
 {
-    duration window = std::chrono::seconds(8); ///< in which use is summed up
-    double excess = 0.1;                       ///< of a limit, beyond it
-    double slack = 0;                          ///< beside that, in its unit
+    duration window = std::chrono::seconds(8); ///< over which usage is summed
+    double excess = 0.1; ///< tolerated excess, as a fraction of the limit
+    double slack = 0;    ///< further absolute excess, in the limit's unit
 };
 
-/// @return The part of a limit that belongs to one of so many routers.
+/// @return The given fraction of a limit.
 inline usage_limit share_of(const usage_limit& whole, double part)
 {
     return {whole.per_second * part, whole.burst * part};
 }
 
-/** A router counts for the accountant that it hears, or for itself, and for
-    both at most so long: the limit's excess covers that.
+/** @return How long a contact between router and accountant stays valid.
+
+    A router that changes its accountant, or falls back to its local share, may
+    be counted twice for at most this long. The tolerated excess covers that.
 */
 inline duration contact_life(const quota_bounds& bounds)
 {
--- a/src/core/quota/quota_accountant.cpp
+++ b/src/core/quota/quota_accountant.cpp
@@ -9,20 +9,20 @@
 namespace
 {
 
-/// Draws of a router that are answered alike when they are repeated.
+/// Results kept per router, to answer repeated draws without counting twice.
 constexpr std::size_t most_answered = 32;
 
-/// A router that wasn't heard for so long needs no memory here.
+/// Routers that were not heard for this long are forgotten.
 constexpr duration forgotten_after = std::chrono::seconds(60);
 
-/// Longer than any time in a word that makes sense.
+/// Cap for times in received messages (one hour).
 constexpr std::int64_t longest_us = 3'600'000'000;
 
-/// More than any request counts; a word with more, less than nothing or no
-/// number at all would spoil a bucket for all who draw from it.
+/// Above the cost of any request. A larger amount, a negative one or NaN would
+/// corrupt a bucket for all routers that draw from it.
 constexpr double largest_amount = 1e12;
 
-/// Of organisations and servers; more are not counted.
+/// Organisations and servers together; further servers are not counted.
 constexpr std::size_t most_accounts = 10'000;
 
 bool makes_sense(double amount)
@@ -35,7 +35,7 @@
     return duration(std::clamp<std::int64_t>(us, 0, longest_us));
 }
 
-/// Between two counts of the routers that are heard.
+/// Interval between two counts of the active routers.
 constexpr duration count_pause = std::chrono::milliseconds(20);
 
 } // namespace
@@ -69,7 +69,7 @@
 quota_answer quota_accountant::heard(const quota_ask& ask, instant now)
 {
     router& from = this->routers[ask.router];
-    // Until the router holds that it hears nothing any more.
+    // The router regards the contact as lost after the same time.
     if (ask.heard_ago_us >= 0)
         from.heard_until = std::max(
             from.heard_until,
@@ -107,7 +107,8 @@
             wait.value_or(one.bucket.until(draw.amount, terms)).count();
     }
     if (!result.is_allowed)
-        return result; // nothing was set aside: it may be asked again
+        return result; // no tokens were taken, so a repeated draw is evaluated
+                       // again
     from.answered.push_front(result);
     if (from.answered.size() > most_answered)
         from.answered.pop_back();
@@ -125,7 +126,7 @@
                           makes_sense(draw.named_per_second);
     if (!is_named || this->limited.size() >= most_accounts)
         return nullptr;
-    // The word of this limit is still on its way, or was lost.
+    // The message about this limit is delayed or was lost.
     account& added = this->limited[draw.organisation];
     added.limit = limit_of_server(draw.named_per_second).whole;
     return &added;
@@ -150,7 +151,8 @@
 {
     if (now - this->advanced < count_pause)
         return;
-    // After a freeze: nobody who was heard before still counts on it.
+    // After a process freeze, routers that were heard before have moved to
+    // another accountant.
     const duration elapsed =
         std::min<duration>(now - this->advanced, contact_life(this->bounds));
     this->advanced = now;
@@ -172,8 +174,8 @@
                             ? 0
                             : static_cast<double>(heard) /
                                   static_cast<double>(this->known_routers);
-    // What an accountant that just began to hear a router gives for it counts
-    // from now on.
+    // A router that was just added contributes from now on, not for the elapsed
+    // time.
     const double filled = std::min(this->part, part);
     for (auto& [organisation, one] : this->limited)
         one.bucket.fill(elapsed, share_of(one.limit, std::min(filled, 1.0)));
--- a/src/core/quota/quota_accountant.hpp
+++ b/src/core/quota/quota_accountant.hpp
@@ -16,40 +16,40 @@
 namespace roseworks
 {
 
-/** Counts what organisations use, for the routers that it hears.
+/** Enforces usage limits for the routers that report to it.
 
-    Load pattern: one organisation sends many times its limit at all routers at
-    once, and what it is owed has to go on unharmed.
+    Load pattern: one organisation sends many times its limit to all routers at
+    once. Its requests within the limit must still be served.
 
-    Each router hears one accountant. An accountant hands out the part of each
-    limit that belongs to the routers it hears, of all that are known; so two
-    accountants at once, or routers that none is heard by, add up to the limit.
-    It begins with empty buckets: what was used before isn't known.
+    Each router reports to one accountant. An accountant grants the share of
+   each limit that belongs to its routers, out of all known routers. So the
+   grants of two concurrent accountants, and of routers without an accountant,
+   add up to the limit. Buckets start empty because earlier usage isn't known.
 */
 class quota_accountant
 {
 public:
     quota_accountant(std::string own_name, quota_bounds bounds);
 
-    /// Other limits are in force.
+    /// Replaces the limits in force.
     void limits_changed(const counted_limits& all, instant now);
 
-    /// @param count Routers that ever announced themselves.
+    /// @param count Number of routers that ever announced themselves.
     void routers_known(std::size_t count);
 
-    /// A router's word.
+    /// Processes a message of a router.
     quota_answer heard(const quota_ask& ask, instant now);
 
-    /// Time passes; to be called at least each 100 ms.
+    /// Refills the buckets; to be called at least every 100 ms.
     void tick(instant now);
 
-    /// What is known of one organisation; for metrics and logs.
+    /// State of one organisation or backend server; for metrics and logs.
     struct account
     {
         usage_limit limit;
         token_bucket bucket;
-        double used = 0;    ///< set aside and not returned, ever
-        double refused = 0; ///< ever
+        double used = 0;    ///< taken and not returned, total
+        double refused = 0; ///< total
     };
 
     const std::map<std::string, account, std::less<>>& accounts() const
@@ -57,7 +57,7 @@
         return this->limited;
     }
 
-    /// @return The part of the routers that it hears.
+    /// @return The fraction of all routers that report to this accountant.
     double share() const
     {
         return this->part;
@@ -67,12 +67,14 @@
     struct router
     {
         instant heard_until;
-        instant counts_from = instant::max(); ///< by another one until then
-        std::deque<quota_result> answered;    ///< allowed last, newest first
+        instant counts_from =
+            instant::max(); ///< until then another accountant counts it
+        std::deque<quota_result>
+            answered; ///< latest allowed draws, newest first
     };
 
     quota_result settle(const quota_draw& draw, router& from);
-    /// @return Null for one without a limit.
+    /// @return Null for an account without a limit.
     account* find_account(const quota_draw& draw);
     void give_back(const quota_return& what);
     void advance(instant now);
@@ -81,7 +83,7 @@
     quota_bounds bounds;
     std::map<std::string, account, std::less<>> limited;
     std::unordered_map<std::string, router> routers;
-    std::size_t known_routers = 0; ///< 0: not told yet
+    std::size_t known_routers = 0; ///< 0: not known yet
     double part = 0;
     instant advanced;
 };
--- a/src/core/quota/quota_client.cpp
+++ b/src/core/quota/quota_client.cpp
@@ -9,20 +9,20 @@
 namespace
 {
 
-/// Between two words to one that fell silent.
+/// Interval between messages to an accountant that doesn't answer.
 constexpr duration probe_pause = std::chrono::milliseconds(100);
 
-/// A tick that is later says nothing of an accountant's silence: it was this
-/// router that stood still.
+/// A tick that is later than this shows that this process was suspended.
+/// Missing answers are then no sign of an accountant's failure.
 constexpr duration usual_lateness = std::chrono::milliseconds(30);
 
-/// Returns that wait for the next word; more are dropped.
+/// Returns that wait for the next message; more are dropped.
 constexpr std::size_t most_returns = 64;
 
-/// A refused caller comes back after so long at most: limits and parts change.
+/// Longest retry delay for a refused caller, as limits and shares change.
 constexpr duration longest_retry = std::chrono::seconds(5);
 
-/// Words in the time that a contact counts: two may be lost.
+/// Messages per contact timeout: a contact survives the loss of two.
 constexpr int words_per_contact = 3;
 
 double seconds(duration length)
@@ -68,7 +68,7 @@
             next.emplace_back().name = std::move(name);
     }
     this->candidates = std::move(next);
-    // A list told anew is no reason to leave an accountant that answers.
+    // Keep an accountant that answers when the list is updated.
     const auto still =
         std::ranges::find(this->candidates, chosen, &candidate::name);
     this->current = static_cast<std::size_t>(still - this->candidates.begin());
@@ -132,7 +132,7 @@
             bucket.until(draw.amount, terms),
             this->settings.give_up,
             longest_retry);
-        // One request over this router's part would be one at each router.
+        // A request above this router's burst could pass at every router.
         const auto wait =
             draw.amount > terms.burst
                 ? std::nullopt
@@ -154,8 +154,9 @@
 usage_limit
 quota_client::own_terms(const counted_limit& limit, instant now) const
 {
-    /// A bucket that fills once in a window gives at most twice its size in
-    /// any; one that never fills by it gives it once.
+    /// Fractions of the slack. While an accountant counts, the slack bucket
+    /// refills once per window, so it gives at most twice its size in any
+    /// window. Otherwise the slack is used only once.
     constexpr double with_accountant = 0.5;
     constexpr double without = 0.95;
     const bool by_itself = this->settings.way == quota_way::own_share;
@@ -172,7 +173,8 @@
 void quota_client::fill_own(instant now)
 {
     if (this->own_filled == instant())
-        this->own_filled = now; // what was used before isn't known
+        this->own_filled =
+            now; // earlier usage isn't known, so buckets start empty
     const duration elapsed = now - this->own_filled;
     this->own_filled = now;
     for (const auto& [name, limit] : this->limits)
@@ -201,8 +203,9 @@
 {
     const bool has_one = this->current < this->candidates.size() &&
                          !this->candidates[this->current].is_silent;
-    // From one that answers to one that goes before it only when that has
-    // heard the others, too: it hands out their part.
+    // Switch from an accountant that answers to a preferred one only when that
+    // is in contact with the other routers, too: it grants only the share of
+    // the routers that report to it.
     for (std::size_t i = 0; i < this->candidates.size(); ++i)
     {
         const candidate& one = this->candidates[i];
@@ -229,7 +232,7 @@
         if (counts)
             other = std::max(other.value_or(instant()), *before.answered);
     }
-    // The limits' excess covers that two count a router once in a window.
+    // The tolerated excess covers one double count of a router per window.
     const bool may_overlap =
         !this->overlapped ||
         now - *this->overlapped >= this->settings.bounds.window;
@@ -301,7 +304,8 @@
     if (begins)
         this->let_count(*from, now);
     this->choose(now);
-    // It counts this router only once it knows that its answers arrive.
+    // An accountant counts this router only when it knows that its answers
+    // arrive.
     if (begins && from->counts_from != instant::max())
         this->say(*from, {}, now);
     const bool is_final =
@@ -402,7 +406,7 @@
 {
     const duration pause =
         contact_life(this->settings.bounds) / words_per_contact;
-    // Those before the chosen one may answer again.
+    // Preferred accountants that were silent may answer again.
     for (std::size_t i = 0; i < this->candidates.size(); ++i)
     {
         candidate& one = this->candidates[i];
--- a/src/core/quota/quota_client.hpp
+++ b/src/core/quota/quota_client.hpp
@@ -18,37 +18,38 @@
 namespace roseworks
 {
 
-/// How a router learns whether a request is within its organisation's limit.
+/// How a router decides whether a request is within its organisation's limit.
 enum class quota_way : std::uint8_t
 {
-    accountant, ///< one router counts for all that hear it
-    own_share   ///< each router has an equal part of each limit
+    accountant, ///< one router counts for all that report to it
+    own_share   ///< each router enforces an equal share locally
 };
 
-/// What became of a request's draw.
+/// Decision on a request's draw.
 struct quota_decision
 {
     std::uint64_t id = 0;
     bool is_allowed = false;
-    duration wait{};        ///< allowed: before the request may be sent
-    duration retry_after{}; ///< refused: when the limit has room for it
+    duration wait{};        ///< allowed: time until the request may be sent
+    duration retry_after{}; ///< refused: time until a retry may succeed
 };
 
-/// A word to one accountant.
+/// An outgoing message to one accountant.
 struct quota_message
 {
-    std::string to; ///< its name
+    std::string to; ///< name of the accountant
     quota_ask ask;
 };
 
-/** A router's side of limits that are counted over all routers.
+/** Client side of the limits that apply to all routers together.
 
-    Asks the first accountant of the list that answers, and decides by the
-    router's own part of the limit while none does. Then each router uses its
-    part of the rate, and at the beginning its part of what is given beside the
-    limits, so that routers that are all cut off keep the sum, too.
+    Asks the first accountant of the list that answers. While none answers, it
+    decides locally by this router's share of the limit: its share of the rate,
+    and at first its share of the slack. So the sum holds also when all routers
+    are cut off from each other.
 
-    Pure: time comes in, words and decisions go out.
+    The class does no I/O and reads no clock: callers pass in the time and
+    collect messages and decisions.
 */
 class quota_client
 {
@@ -58,33 +59,34 @@
         std::string router;
         quota_bounds bounds;
         quota_way way = quota_way::accountant;
-        /// An ask without an answer is sent again: a lost packet.
+        /// Resend a draw that got no answer, as packets may be lost.
         duration resend = std::chrono::milliseconds(40);
-        /// Another accountant is asked.
+        /// Fail over from an accountant that has not answered for this long.
         duration next_accountant = std::chrono::milliseconds(80);
-        /// The own part decides.
+        /// Decide a draw locally after this long.
         duration give_up = std::chrono::milliseconds(300);
-        std::uint64_t seed = 1; ///< of the first draw's id
+        std::uint64_t seed = 1; ///< draw ids start after it
     };
 
     explicit quota_client(options settings);
 
     void limits_changed(counted_limits all);
 
-    /// @param names Routers that may count, the preferred one first; the same
-    ///              on each router.
-    /// @param known All routers.
+    /// @param names Routers that may act as accountant, the preferred one
+    /// first;
+    ///              the same list on each router.
+    /// @param known Number of all routers.
     void accountants_known(std::vector<std::string> names, std::size_t known);
 
-    /// Asks for a request's tokens.
-    /// @return The draw's id; its decision follows.
+    /// Requests tokens for one request.
+    /// @return The draw's id. Its decision is returned by `take_decisions`.
     std::uint64_t draw(
         std::string_view organisation,
         double amount,
         duration longest_wait,
         instant now);
 
-    /// A request that had its tokens set aside didn't run.
+    /// Returns the tokens of a request that did not run.
     void give_back(std::string_view organisation, double amount, instant now);
 
     void heard(const quota_answer& answer, instant now);
@@ -100,7 +102,7 @@
     std::vector<quota_message> take_messages();
     std::vector<quota_decision> take_decisions();
 
-    /// @return The accountant that is asked; empty while none answers.
+    /// @return The accountant in use; empty while none answers.
     std::string_view accountant() const;
 
 private:
@@ -109,39 +111,41 @@
         quota_draw draw;
         instant asked;
         instant sent;
-        std::optional<quota_result> refused; ///< by one that may know little
+        std::optional<quota_result>
+            refused; ///< from an accountant that lacks data yet
     };
 
     struct candidate
     {
         std::string name;
         bool is_silent = false;
-        instant since; ///< it answers without a gap, and counts this router
-        instant counts_from = instant::max(); ///< this router
-        std::optional<instant> answered;      ///< last
-        std::optional<instant> asked;         ///< first ask without an answer
-        instant told;                         ///< last word to it
+        instant since; ///< start of the uninterrupted contact
+        instant counts_from =
+            instant::max();              ///< it counts this router from then on
+        std::optional<instant> answered; ///< time of its last answer
+        std::optional<instant> asked; ///< time of the first unanswered message
+        instant told;                 ///< time of the last message to it
     };
 
     using decide = void (quota_client::*)(std::uint64_t id, instant now);
 
-    /// @return What a backend server named; 0 for other accounts.
+    /// @return The rate that a backend server announced; 0 for other accounts.
     double named_limit(std::string_view account) const;
     void ask_accountant(std::uint64_t id, instant now);
     void use_own_part(std::uint64_t id, instant now);
-    /// @return This router's part of each limit; nothing before it was told
-    ///         how many share them.
+    /// @return This router's fraction of each limit; 0 until the number of
+    ///         routers is known.
     double own_part() const;
-    /// @return What this router may use by itself now.
+    /// @return Rate and burst that this router may use locally now.
     usage_limit own_terms(const counted_limit& limit, instant now) const;
     void fill_own(instant now);
-    /// @return Whether no accountant counts for this router.
+    /// @return Whether no accountant is in contact with this router.
     bool is_alone(instant now) const;
-    /// @return Whether an accountant has heard this router, and so the others,
-    ///         long enough to know its part of the limits.
+    /// @return Whether an accountant has been in contact with this router, and
+    ///         so with the others, long enough to know its share of the limits.
     bool is_settled(const candidate& one, instant now) const;
     void choose(instant now);
-    /// A contact has begun: from when on it counts this router.
+    /// Starts a contact: sets when the accountant begins to count this router.
     void let_count(candidate& one, instant now);
     void say(candidate& to, std::vector<quota_draw> draws, instant now);
     void settle(const quota_result& result);
@@ -153,16 +157,18 @@
     options settings;
     decide way;
     counted_limits limits;
-    std::unordered_map<std::string, token_bucket> own; ///< by organisation
+    std::unordered_map<std::string, token_bucket> own; ///< by account
     std::vector<candidate> candidates;
-    std::size_t current = 0;       ///< candidate; beyond the last: none answers
-    std::size_t known_routers = 0; ///< 0: not told yet
+    std::size_t current =
+        0; ///< index in `candidates`; its size when none answers
+    std::size_t known_routers = 0; ///< 0: not known yet
     std::map<std::uint64_t, pending> waiting;
     std::vector<quota_return> returns;
     std::vector<quota_message> messages;
     std::vector<quota_decision> decisions;
     std::uint64_t last_id;
-    std::optional<instant> overlapped; ///< two counted this router, last
+    std::optional<instant>
+        overlapped; ///< when two accountants last counted this router
     instant own_filled;
     instant ticked;
     instant due;
--- a/src/core/quota/quota_words.hpp
+++ b/src/core/quota/quota_words.hpp
@@ -7,15 +7,15 @@
 namespace roseworks
 {
 
-/// Tokens that one request needs of its organisation's limit.
+/// Tokens that one request takes from the limit of an account.
 struct quota_draw
 {
-    std::uint64_t id = 0; ///< unique for its router, also over restarts
-    std::string organisation;
+    std::uint64_t id = 0;     ///< unique per router, also across restarts
+    std::string organisation; ///< name of the account: organisation or server
     double amount = 0;
     std::int64_t longest_wait_us = 0;
-    /// The limit as a backend server named it, for an accountant that hasn't
-    /// heard of it; 0: the configuration's counts.
+    /// The limit that a backend server announced, for an accountant that
+    /// doesn't know it yet; 0: the configured limit applies.
     double named_per_second = 0;
 
     template <class Archive>
@@ -30,7 +30,7 @@
     }
 };
 
-/// Tokens that were set aside for a request which didn't run.
+/// Tokens that were taken for a request that did not run.
 struct quota_return
 {
     std::string organisation;
@@ -43,18 +43,18 @@
     }
 };
 
-/// A router's word to the accountant. Draws are repeated until they are
-/// answered; a lost return costs the organisation these tokens.
+/// Message from a router to its accountant. Draws are repeated until they are
+/// answered. Returns are not: a lost one costs the organisation these tokens.
 struct quota_ask
 {
-    /// Nothing was heard of this accountant, or it needn't count the router.
+    /// No answer came from this accountant, or it must not count this router.
     static constexpr std::int64_t never = -1;
 
     std::string router;
-    /// How long ago the accountant's last answer came; or never.
+    /// Age of the last answer from this accountant, or `never`.
     std::int64_t heard_ago_us = never;
-    /// For so long yet another accountant counts the router; or never to be
-    /// counted here.
+    /// Time until this accountant starts to count the router, while another one
+    /// still counts it, or `never`.
     std::int64_t counts_in_us = never;
     std::vector<quota_draw> draws;
     std::vector<quota_return> returns;
@@ -71,13 +71,13 @@
     }
 };
 
-/// What became of one draw.
+/// Result of one draw.
 struct quota_result
 {
     std::uint64_t id = 0;
     bool is_allowed = false;
-    /// Allowed: until the request may be sent. Refused: until the bucket holds
-    /// its tokens.
+    /// Allowed: time until the request may be sent. Refused: time until the
+    /// bucket holds enough tokens.
     std::int64_t wait_us = 0;
 
     template <class Archive>
@@ -87,7 +87,7 @@
     }
 };
 
-/// The accountant's answer to one ask, also to an empty one.
+/// The accountant's reply to each query, including one without draws.
 struct quota_answer
 {
     std::string accountant;
--- a/src/core/quota/token_bucket.cpp
+++ b/src/core/quota/token_bucket.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// A bucket that never fills, or not within any caller's patience.
+/// Stands for a bucket that never fills, or not before any request times out.
 constexpr duration longest_wait = std::chrono::hours(1);
 
 } // namespace
@@ -21,7 +21,7 @@
 
 duration token_bucket::until(double amount, const usage_limit& terms) const
 {
-    // Nothing belongs to this bucket: not even one request over its capacity.
+    // No limit is assigned: not even a request above the capacity may pass.
     if (terms.per_second <= 0 && terms.burst <= 0)
         return longest_wait;
     const double missing = std::min(amount, terms.burst) - this->held;
--- a/src/core/quota/token_bucket.hpp
+++ b/src/core/quota/token_bucket.hpp
@@ -9,32 +9,33 @@
 namespace roseworks
 {
 
-/** Tokens that fill up at a rate to a capacity, and are set aside by requests.
+/** A token bucket that lets requests reserve tokens in advance.
 
-    A request may be allowed ahead of its tokens, to wait until the bucket holds
-    them: they are set aside at once, and the level goes below zero. So a
-    request that can wait gets its turn while ones that can't are refused.
+    A request that can wait takes its tokens at once, and the level may become
+    negative. The request is sent after the returned wait. So it isn't starved
+   by requests that can't wait: those are refused meanwhile.
 */
 class token_bucket
 {
 public:
-    /// @param terms Rate and capacity; may change from call to call.
+    /// @param terms Rate and capacity; may differ between calls.
     void fill(duration elapsed, const usage_limit& terms);
 
-    /** Set tokens aside.
+    /** Takes tokens.
 
-        @param amount  At most the capacity has to be there; the rest is owed.
-        @param longest How long the request can wait for them.
-        @return        How long it has to wait; empty when that is longer, and
-                       then nothing is set aside.
+        @param amount  May exceed the capacity: then a full bucket suffices, and
+                       the level becomes negative.
+        @param longest Longest time that the request can wait.
+        @return        How long the request has to wait. Empty when that is
+                       longer than it can wait; then no tokens are taken.
     */
     std::optional<duration>
     take(double amount, duration longest, const usage_limit& terms);
 
-    /// @return How long until the bucket holds so much.
+    /// @return Time until the bucket holds the amount, or is full.
     duration until(double amount, const usage_limit& terms) const;
 
-    /// Tokens that were set aside and not used.
+    /// Returns tokens that were taken and not used.
     void put_back(double amount, const usage_limit& terms);
 
     double level() const
--- a/src/core/serving/deployment.cpp
+++ b/src/core/serving/deployment.cpp
@@ -7,8 +7,8 @@
 
 duration path_route::patience() const
 {
-    /// As the platform states them: the longest of two seconds, four times the
-    /// objective and eight times the longest pause between events.
+    /// As the platform defines it: the longest of two seconds, four times the
+    /// objective and eight times the longest gap between events.
     constexpr duration least = std::chrono::seconds(2);
     constexpr int objectives = 4;
     constexpr int gaps = 8;
@@ -21,7 +21,7 @@
 
 duration path_route::longest_wait() const
 {
-    /// The request's way here and the refusal's way back.
+    /// Network time of the request to this router and of the refusal back.
     constexpr duration ways = std::chrono::milliseconds(100);
     const bool bounded = this->kind == repetition::streaming &&
                          !this->resumable && this->patience() > ways;
--- a/src/core/serving/deployment.hpp
+++ b/src/core/serving/deployment.hpp
@@ -14,15 +14,15 @@
 namespace roseworks
 {
 
-/// What may be done again when the outcome of a request isn't known.
+/// Whether a request may be retried when its outcome isn't known.
 enum class repetition : std::uint8_t
 {
     idempotent,     ///< may run more than once
-    non_idempotent, ///< runs once at most
-    streaming       ///< once at most, unless the stream can be resumed
+    non_idempotent, ///< runs at most once
+    streaming       ///< at most once, unless the stream can be resumed
 };
 
-/// One of the services that a route's requests are split over.
+/// One of the services that share the requests of a route.
 struct service_share
 {
     std::string service;
@@ -31,33 +31,35 @@
     bool operator==(const service_share&) const = default;
 };
 
-/// Requests of one host below one path.
+/// A route: requests to one host below one path prefix.
 struct path_route
 {
     std::string name;
     std::string host;
     std::string path_prefix; ///< begins and ends with a slash
     repetition kind = repetition::non_idempotent;
-    duration timeout{};     ///< the longest that a request is kept waiting
-    duration objective{};   ///< an answer, or a stream's first event, by then
-    duration longest_gap{}; ///< between a stream's events
-    std::uint8_t rank = 0;  ///< 0 is the most urgent
-    std::uint32_t max_attempts = 1; ///< backend servers for one request
-    bool resumable = false;         ///< a stream may go on elsewhere
-    bool keyless = false;           ///< callers without a key may use it
+    duration timeout{};     ///< time limit of a request
+    duration objective{};   ///< target time for the answer or the first event
+    duration longest_gap{}; ///< longest expected gap between events of a stream
+    std::uint8_t rank = 0;  ///< 0 is the highest priority
+    std::uint32_t max_attempts = 1; ///< backend servers tried per request
+    bool resumable = false;         ///< a stream may resume on another server
+    bool keyless = false;           ///< callers need no API key
     std::vector<service_share> services;
 
-    /** @return How long a caller waits for a stream's first event at most.
+    /** @return The longest time that a caller waits for a stream's first event.
 
-        Callers abandon a stream then, whatever its time limit: a request that
-        waits for longer is worth nothing, and was kept from an answer that
-        tells when to come back.
+        Callers abandon a stream after this time, whatever its time limit. A
+        request that waits longer is useless to its caller, who could have got a
+        refusal with a retry time instead.
     */
     duration patience() const;
 
-    /// @return How long a request may wait before it is sent: less than the
-    ///         caller's patience, whose clock began earlier. A stream that may
-    ///         go on elsewhere waits anew after each event.
+    /// @return The longest time that a request may wait before it is sent. It
+    /// is
+    ///         shorter than the caller's wait, which began earlier. For a
+    ///         stream that can resume, the caller's wait restarts with each
+    ///         event, so only its time limit counts.
     duration longest_wait() const;
 
     /// @return Whether a request may run again after one that may have run.
@@ -70,7 +72,7 @@
     bool operator==(const path_route&) const = default;
 };
 
-/// A base model that the engines of a service may hold.
+/// A base model that the engines of a service can load.
 struct model_profile
 {
     std::string name;
@@ -78,36 +80,36 @@
     duration load_from_store{};
     duration load_from_disk{};
     duration load_from_memory{};
-    std::uint32_t adapters = 0; ///< named a1, a2, ...
+    std::uint32_t adapters = 0; ///< number of adapters, named a1, a2, ...
     double adapter_mb = 0;
 
     bool operator==(const model_profile&) const = default;
 };
 
-/// What is the same for all engines of a service.
+/// Properties that all engines of a service share.
 struct engine_profile
 {
-    std::uint32_t slots = 1;   ///< requests that run at once
-    double memory_mb = 0;      ///< for weights and adapters together
-    double host_memory_mb = 0; ///< for copies of weights
+    std::uint32_t slots = 1;   ///< concurrent requests
+    double memory_mb = 0;      ///< accelerator memory for weights and adapters
+    double host_memory_mb = 0; ///< host memory for copies of weights
     std::uint32_t adapter_places = 0;
-    double store_loads_per_second = 0; ///< over all engines
+    double store_loads_per_second = 0; ///< total of all engines
     std::vector<model_profile> models;
 
     bool operator==(const engine_profile&) const = default;
 };
 
-/// A service: model engines, or plain backend servers.
+/// A service that consists of model engines or of plain backend servers.
 struct service_profile
 {
     std::string name;
-    std::uint32_t max_connections = 0;    ///< of all callers to one server
+    std::uint32_t max_connections = 0;    ///< from all callers to one server
     std::optional<engine_profile> engine; ///< empty: a plain service
 
     bool operator==(const service_profile&) const = default;
 };
 
-/// What callers may send, and how long they may take.
+/// Size and time limits for requests of callers.
 struct caller_bounds
 {
     std::size_t max_header_bytes = std::size_t(16) << 10;
@@ -118,17 +120,17 @@
     bool operator==(const caller_bounds&) const = default;
 };
 
-/// One version of the operators' configuration, whole.
+/// One complete version of the operators' configuration.
 struct deployment
 {
     std::uint64_t version = 0;
     std::vector<path_route> routes;
     std::vector<service_profile> services;
     caller_bounds callers;
-    /// Empty: callers need no key.
+    /// Empty: callers need no API key.
     std::optional<std::vector<organisation>> organisations;
 
-    /// @return The service of this name, null when there is none.
+    /// @return The service with this name, or null.
     const service_profile* find_service(std::string_view name) const;
 
     bool operator==(const deployment&) const = default;
--- a/src/core/serving/engine_residency.hpp
+++ b/src/core/serving/engine_residency.hpp
@@ -9,20 +9,22 @@
 namespace roseworks
 {
 
-/** What an engine holds, as the placement owner knows it from its own orders.
+/** The models on an engine, as the placement owner knows them from the orders
+    that it sent.
 
-    Newer than the engine's own entry by seconds. A hint: a request sent where
-    the model isn't any more is refused there as not run.
+    It is newer than the engine's registry entry by seconds. The data is
+    advisory: an engine that no longer has the model refuses the request without
+    running it.
 */
 struct engine_residency
 {
-    std::string engine;         ///< id of its entry
-    std::int64_t born_ms = 0;   ///< of its entry: which run of the engine
-    std::uint64_t tenure = 0;   ///< fencing number of the owner
-    std::uint64_t revision = 0; ///< rises within a tenure
+    std::string engine;         ///< id of the engine's registry entry
+    std::int64_t born_ms = 0;   ///< start time in the entry; identifies the run
+    std::uint64_t tenure = 0;   ///< fencing token of the owner
+    std::uint64_t revision = 0; ///< increases within a tenure
     std::vector<resident_model> resident;
 
-    /// @return Whether this replaces what the other says of the same run.
+    /// @return Whether this replaces the other, which is of the same run.
     bool newer_than(const engine_residency& other) const
     {
         return this->tenure != other.tenure ? this->tenure > other.tenure
--- a/src/core/serving/key_digest.hpp
+++ b/src/core/serving/key_digest.hpp
@@ -9,23 +9,25 @@
 namespace roseworks
 {
 
-/** SHA-256 of an API key: what is kept and compared in the key's place.
+/** SHA-256 digest of an API key. The digest is stored and compared in place of
+    the key.
 
-    The order of comparing tells nothing about a key, as nobody can choose a key
-    by its digest.
+    Lookup by digest leaks nothing about a key through timing, as nobody can
+    choose a key with a given digest.
 */
 struct key_digest
 {
     std::array<std::uint8_t, 32> bytes{};
 
-    /// Takes the same time wherever the two differ.
+    /// Compares in constant time.
     bool operator==(const key_digest& other) const;
 };
 
-/// @return The digest of a key as its caller sends it.
+/// @param key The API key as sent by the caller.
 key_digest digest_of(std::string_view key);
 
-/// @return A few digits for logs that tell keys apart and give none away.
+/// @return A few hexadecimal digits that identify the key in logs without
+///         revealing it.
 std::string fingerprint_of(const key_digest& digest);
 
 struct key_digest_hash
--- a/src/core/serving/organisation.hpp
+++ b/src/core/serving/organisation.hpp
@@ -10,28 +10,28 @@
 namespace roseworks
 {
 
-/// How much an organisation may use, over all routers together. Tokens, or
-/// requests where requests are counted.
+/// The usage that an organisation is allowed at all routers together, in tokens
+/// or in requests.
 struct usage_limit
 {
     double per_second = 0;
-    double burst = 0; ///< beside what its rate gives
+    double burst = 0; ///< capacity of the token bucket
 
     bool operator==(const usage_limit&) const = default;
 };
 
-/// Whose requests these are: it holds API keys, and its limit is one sum.
+/// An owner of API keys. One usage limit applies to all its keys together.
 struct organisation
 {
     std::string name;
     std::vector<key_digest> keys;
-    std::uint8_t rank = 0;            ///< 0 goes first, before a route's rank
-    std::optional<usage_limit> limit; ///< empty: none
-    bool counts_tokens = false;       ///< its limit is in tokens
-    std::uint64_t plain_tokens = 0; ///< of a request that doesn't tell its own
+    std::uint8_t rank = 0; ///< 0 is the highest; precedes the route's rank
+    std::optional<usage_limit> limit; ///< empty: unlimited
+    bool counts_tokens = false;     ///< the limit is in tokens, not in requests
+    std::uint64_t plain_tokens = 0; ///< cost of a request that states no number
 
-    /// @param tokens What a request says that it takes; empty: nothing said.
-    /// @return       What it counts towards the limit.
+    /// @param tokens Number of tokens that the request states, if any.
+    /// @return       Cost of the request, in the unit of the limit.
     double cost(std::optional<std::uint64_t> tokens) const;
 
     bool operator==(const organisation&) const = default;
--- a/src/core/serving/organisation_changes.cpp
+++ b/src/core/serving/organisation_changes.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// Fingerprints in one line at most.
+/// Fingerprints per log line.
 constexpr std::size_t most_named = 8;
 
 using key_set = std::unordered_set<key_digest, key_digest_hash>;
--- a/src/core/serving/organisation_changes.hpp
+++ b/src/core/serving/organisation_changes.hpp
@@ -8,13 +8,13 @@
 namespace roseworks
 {
 
-/// What a version of the configuration changed of organisations, for logs.
+/// Changes of organisations between two configurations, for logs.
 struct organisation_changes
 {
     std::size_t keys_added = 0;
     std::size_t keys_dropped = 0;
     std::size_t limits_changed = 0;
-    std::string dropped; ///< fingerprints of some dropped keys
+    std::string dropped; ///< fingerprints of the first few dropped keys
 
     bool any() const
     {
@@ -23,7 +23,7 @@
     }
 };
 
-/// @param before Null: the first configuration.
+/// @param before Null for the first configuration.
 organisation_changes
 compare_organisations(const deployment* before, const deployment& now);
 
--- a/src/core/serving/organisation_index.hpp
+++ b/src/core/serving/organisation_index.hpp
@@ -10,21 +10,21 @@
 namespace roseworks
 {
 
-/// Finds the organisation that holds an API key. Immutable; one for each
-/// version of the configuration.
+/// Index of organisations by API key. Immutable; one instance per version of
+/// the configuration.
 class organisation_index
 {
 public:
     explicit organisation_index(std::shared_ptr<const deployment> whole);
 
-    /// @return Whether callers need a key at all.
+    /// @return Whether callers need an API key.
     bool is_required() const
     {
         return this->config->organisations.has_value();
     }
 
-    /// @return The holder of the key; null when nobody holds it. Lives as long
-    ///         as this. When two hold it, the first.
+    /// @return The organisation that has the key, or null; the first one if
+    ///         several have it. The pointer is valid as long as this object.
     const organisation* find(const key_digest& key) const;
 
     std::size_t keys() const
--- a/src/core/serving/servable_key.hpp
+++ b/src/core/serving/servable_key.hpp
@@ -6,9 +6,9 @@
 namespace roseworks
 {
 
-/// @return What the dispatcher calls a model (`model`) or adapter
-///         (`model/adapter`) of a service: two services may each have a model
-///         of one name.
+/// @return The dispatcher's key for a model (`model`) or adapter
+///         (`model/adapter`). It includes the service because two services may
+///         have models of the same name.
 inline std::string
 servable_key(std::string_view service, std::string_view servable)
 {
@@ -20,15 +20,14 @@
     return key;
 }
 
-/// A servable's name taken apart.
+/// Components of a servable key.
 struct servable_parts
 {
     std::string_view service;
     std::string_view model;
-    std::string_view adapter; ///< empty: the base model
+    std::string_view adapter; ///< empty for a base model
 };
 
-/// @return The parts of a `servable_key`.
 inline servable_parts split_servable_key(std::string_view key)
 {
     servable_parts parts;
--- a/src/core/serving/server_entry.hpp
+++ b/src/core/serving/server_entry.hpp
@@ -19,39 +19,39 @@
     bool operator==(const resident_model&) const = default;
 };
 
-/// What an engine says that it holds. Lags.
+/// Models and weights that an engine reports. The report lags behind.
 struct engine_holdings
 {
     std::vector<resident_model> resident;
     std::vector<std::string> in_memory; ///< copies of weights
     std::vector<std::string> on_disk;   ///< copies of weights
-    /// Whether the copies were said: another router's word leaves them out.
+    /// Whether the copies are known: messages from other routers omit them.
     bool copies_known = true;
 
     bool operator==(const engine_holdings&) const = default;
 };
 
-/** A backend server as it registered itself.
+/** The registry entry of a backend server, written by the server itself.
 
-    A claim by a stranger: checked field by field when it is decoded, and a
-    hint from then on. A server that starts anew under its old id says so by
-    another `born_ms`.
+    The source is untrusted: the decoder validates each field, and the data
+   stays advisory. A server that restarts with the same id has another
+   `born_ms`.
 */
 struct server_entry
 {
     std::string id;
-    std::int64_t born_ms = 0; ///< its start, milliseconds since 1970
+    std::int64_t born_ms = 0; ///< start time, milliseconds since the Unix epoch
     std::string service;
     std::string address; ///< ip:port
     std::string data_centre;
     std::uint32_t slots = 1;
     bool leaving = false;
     engine_holdings holdings;
-    /// The registry's number of this word: of two servers at one address, the
-    /// one with the later word runs there.
+    /// Revision of this entry in the registry. Of two servers at one address,
+    /// the one with the higher revision is running.
     std::uint64_t heard = 0;
 
-    /// @return Whether the other word says the same.
+    /// Compares everything but the registry revision.
     bool operator==(const server_entry& other) const
     {
         return this->id == other.id && this->born_ms == other.born_ms &&
--- a/src/core/serving/serving_table.hpp
+++ b/src/core/serving/serving_table.hpp
@@ -16,30 +16,31 @@
 namespace roseworks
 {
 
-/// What is the same for all tables of one version of the configuration.
+/// Data that all tables of one version of the configuration share.
 struct servable_catalogue
 {
     std::shared_ptr<const route_index> routes;
     std::shared_ptr<const organisation_index> organisations;
-    /// Every model and adapter by its key, without a place to run.
+    /// Every model and adapter by its key, without engines.
     std::unordered_map<std::string, servable_routes> servables;
     /// Names of the services that have engines.
     std::unordered_set<std::string> engine_services;
 };
 
-/// Who answers at an address now.
+/// The server that runs at an address now.
 struct server_identity
 {
-    std::string instance; ///< id of its entry
+    std::string instance; ///< id of the server's registry entry
     std::string service;
     std::string data_centre;
 };
 
-/** What the traffic threads know: routes, and where each servable can run.
+/** The routing data for the traffic threads: routes, and the engines that can
+    run each servable.
 
-    Immutable. Models that are nowhere come from the catalogue, which all
-    tables of a configuration share, so that a table costs what is resident
-    and not what is declared. A hint.
+    Immutable. Models that no engine has loaded come from the catalogue, which
+    all tables of a configuration share. So the size of a table depends on the
+    resident models, not on the declared ones. The data is advisory.
 */
 class serving_table final : public routing_table
 {
@@ -51,13 +52,13 @@
         std::unordered_map<std::string, service_routes> services;
         std::unordered_map<std::string, server_identity>
             servers; ///< by address
-        /// Engines that could hold a model, by service.
+        /// Number of engines by service.
         std::unordered_map<std::string, std::uint16_t> engines;
         std::unordered_set<fingerprint> blocked;
         std::unordered_set<fingerprint> suspect;
-        /// When models that no engine has can be there, by their keys.
+        /// Expected load times of models that no engine has, by model key.
         std::unordered_map<std::string, instant> expected;
-        bool orders_possible = false; ///< a placement owner is at work
+        bool orders_possible = false; ///< a placement owner is active
     };
 
     explicit serving_table(parts content);
@@ -73,10 +74,10 @@
     expected_ready(std::string_view servable) const override;
     std::vector<std::string> servable_names() const override;
 
-    /// @return Who answers at an address, null when nobody is known to.
+    /// @return The server that runs at an address, or null.
     const server_identity* find_server(const std::string& address) const;
 
-    /// @return Whether a service's requests need a model.
+    /// @return Whether the service consists of model engines.
     bool has_engines(std::string_view service) const;
 
     const route_index& routes() const
--- a/src/core/serving/serving_view.cpp
+++ b/src/core/serving/serving_view.cpp
@@ -13,12 +13,13 @@
 namespace
 {
 
-/// Time until a model that is nowhere can run, before any was observed: a load
-/// from an engine's disk, and the wait for an engine to be free for it.
+/// Initial estimate of the time until a model that no engine has can run: the
+/// wait for a free engine and the load from its disk.
 constexpr std::uint32_t first_cold_estimate_ms = 1000;
 
-/// Requests of this router that a plain backend server takes at once beyond
-/// its slots: it queues a few itself, and slots free while a request travels.
+/// Requests that this router sends to a plain backend server beyond its slots.
+/// The server queues a few, and slots become free while a request is in
+/// transit.
 constexpr std::uint16_t plain_queue_allowance = 2;
 
 std::uint16_t clamped(std::size_t value)
@@ -27,7 +28,7 @@
     return static_cast<std::uint16_t>(std::min(value, most));
 }
 
-/// A word that says nothing of an engine's copies changes nothing of them.
+/// Keeps the known copies when an update omits them.
 void keep_copies(engine_holdings& holdings, const engine_holdings& before)
 {
     holdings.in_memory = before.in_memory;
@@ -112,7 +113,7 @@
     }
     server& one = found->second;
     if (entry.heard < one.entry.heard)
-        return false; // an older word of a listing that took its time
+        return false; // outdated entry from a slow listing
     const bool revived = one.lapses.has_value();
     one.lapses.reset();
     one.entry.heard = entry.heard;
@@ -125,7 +126,7 @@
         return revived || one.superseded != was_superseded;
     const bool restarted = one.entry.born_ms != entry.born_ms;
     if (restarted && entry.born_ms < one.entry.born_ms)
-        return revived; // an older run's entry came late
+        return revived; // late entry of an earlier run
     if (restarted)
     {
         one.run = replica_id(++this->last_run);
--- a/src/core/serving/serving_view.hpp
+++ b/src/core/serving/serving_view.hpp
@@ -21,47 +21,47 @@
 namespace roseworks
 {
 
-/** What a router believes of the deployment: the newest configuration, the
-    backend servers as they registered, and what the placement owner says that
-    each engine holds.
-
-    Versions of the configuration only rise. A server that leaves or is gone
-    gets nothing new at once, with one exception: entries that lapse just after
-    the registry was away are kept until the servers had time to register
-    anew. All of it is a hint but the configuration, which the store decides.
+/** A router's view of the deployment: the newest configuration, the registered
+    backend servers, and the models on each engine as reported by the placement
+    owner.
+
+    Versions of the configuration only increase. A server that leaves or is gone
+    gets no new requests from then on, with one exception: entries that expire
+    just after a registry outage are kept until the servers had time to register
+    again. The configuration is authoritative; all other data is advisory.
 */
 class serving_view
 {
 public:
     struct options
     {
-        /// For servers to register again after the registry was away.
+        /// Time for servers to register again after a registry outage.
         duration revival = std::chrono::milliseconds(2200);
-        /// The owner's word on an engine counts for so long; after it the
-        /// engine's own entry does, which then is newer.
+        /// How long the owner's report on an engine is used. Afterwards the
+        /// engine's own entry is newer.
         duration residency_lifetime = std::chrono::seconds(4);
-        /// What the owner expects counts for so long: it tells it four times a
-        /// second.
+        /// How long an expected load time is used. The owner sends it four
+        /// times per second.
         duration outlook_lifetime = std::chrono::seconds(1);
-        /// A shift of it by less changes nothing.
+        /// Smaller shifts of an expected load time are ignored.
         duration outlook_step = std::chrono::milliseconds(200);
-        /// A refusal counts for so long where the owner told of the model just
-        /// now: a load that is about to end.
+        /// How long a refusal is remembered when the owner has just reported
+        /// the model: the load is about to finish.
         duration refusal_lifetime = std::chrono::milliseconds(150);
-        /// The owner's word is that new for so long.
+        /// Age up to which an owner's report counts as recent.
         duration new_word = std::chrono::milliseconds(1000);
-        /// A refusal counts for so long, or until there is newer word, where
-        /// older knowledge was wrong: the model was unloaded. The request waits
-        /// for the owner meanwhile, in place of using its sendings up at the
-        /// same engine.
+        /// How long a refusal is remembered when the older data was wrong
+        /// because the model was unloaded. Newer data ends it earlier.
+        /// Meanwhile the request waits for the owner instead of using up its
+        /// attempts at the same engine.
         duration outdated_refusal_lifetime = std::chrono::milliseconds(1000);
-        /// An engine to which no connection could be opened gets nothing for
-        /// so long, and each time again for twice as long up to the longest:
-        /// the registry lists one that is gone for some seconds more, and each
-        /// try costs a request the time that a connection may take.
+        /// Back-off for an engine to which no connection could be opened. It
+        /// doubles with each failure up to the maximum. The registry lists an
+        /// engine for some seconds after it is gone, and each attempt costs a
+        /// request the connect timeout.
         duration first_unreached = std::chrono::milliseconds(500);
         duration longest_unreached = std::chrono::seconds(4);
-        /// Reachable for so long, it starts anew.
+        /// The back-off starts again after this time without a failure.
         duration unreached_memory = std::chrono::seconds(8);
     };
 
@@ -69,77 +69,81 @@
     struct server
     {
         server_entry entry;
-        engine_id engine;              ///< the same for all runs under one id
-        replica_id run;                ///< another one for each run
-        std::optional<instant> lapses; ///< gone unless it registers before
-        /// Another server runs at its address now: one that crashed stays in
-        /// the registry for seconds, and its next run may be there by then.
+        engine_id engine; ///< the same for all runs with one id
+        replica_id run;   ///< differs for each run
+        std::optional<instant>
+            lapses; ///< removed then unless it registers again
+        /// Another server runs at this address now. A crashed server stays in
+        /// the registry for seconds, and its successor may register meanwhile.
         bool superseded = false;
         std::optional<engine_residency> owned;
-        instant owned_at;    ///< when the owner last said so
-        instant owned_since; ///< when the owner said so first
-        /// Keys of what it refused, until when they count.
+        instant owned_at;    ///< when the owner last sent this report
+        instant owned_since; ///< when the owner first sent this report
+        /// Servables that it refused, with the time until which that counts.
         std::map<std::string, instant, std::less<>> refused;
-        duration unreached_for{};               ///< the last such time; 0: none
-        std::optional<instant> unreached_until; ///< it gets nothing till then
+        duration unreached_for{};               ///< last back-off; 0: none
+        std::optional<instant> unreached_until; ///< end of the current back-off
         instant last_unreached;
     };
 
     explicit serving_view(options settings);
 
-    /// @return Whether the version is newer and is in force now.
+    /// @return Whether the version is newer and was adopted.
     bool deployment_read(std::shared_ptr<const deployment> next);
 
-    /// @return Whether anything that matters to routing changed.
+    /// @return Whether anything relevant to routing changed.
     bool entry_read(server_entry entry);
     bool entry_removed(std::string_view id, instant now);
 
-    /// The whole registry was read: servers that aren't in it are gone.
+    /// Processes a complete registry listing: servers that aren't in it are
+    /// gone.
     bool entries_listed(std::vector<server_entry> all, instant now);
 
-    /// The registry answers again after it was away.
+    /// The registry is available again after an outage.
     void registry_back(instant now);
 
-    /// The placement owner told what an engine holds.
-    /// @return Whether that is news.
+    /// Processes the placement owner's report on an engine.
+    /// @return Whether anything relevant to routing changed.
     bool residency_heard(engine_residency told, instant now);
 
-    /// The placement owner told when a model that no engine has can be there.
-    /// @return Whether that is news.
+    /// Processes the expected load time of a model that no engine has, sent by
+    /// the placement owner.
+    /// @return Whether the time was new or changed noticeably.
     bool outlook_heard(const std::string& model, instant ready, instant now);
 
-    /** An engine refused a request for want of its model or adapter.
+    /** Records that an engine refused a request because it lacks the model or
+        adapter.
 
-        It isn't sent there for it until there is newer word of the engine, or
-        some time has passed: else a retry would go to the same engine.
+        The engine gets no requests for this servable until newer data arrives
+        or the refusal expires. Otherwise a retry would go to the same engine.
 
-        @param servable Its key.
-        @return         Whether it was thought to be there.
+        @param servable Key of the model or adapter.
+        @return         Whether the engine is known.
     */
     bool contradicted(
         std::string_view engine, std::string_view servable, instant now);
 
-    /** No connection to a server could be opened.
+    /** Records that no connection to a server could be opened.
 
-        @return Until when the engine gets nothing; empty for other servers,
-                and when that was known.
+        @return End of the engine's back-off; empty for plain servers, and when
+                a back-off is already in effect.
     */
     std::optional<instant> unreached(std::string_view server, instant now);
 
-    /// @return Whether servers lapsed, or word of the owner grew old.
+    /// @return Whether servers, reports, refusals or back-offs expired.
     bool tick(instant now);
 
-    /// @return The newest configuration, null before the first.
+    /// @return The newest configuration; null before the first.
     const std::shared_ptr<const deployment>& config() const
     {
         return this->current;
     }
 
-    /// @return What the engine holds, by the best word there is.
+    /// @return The models on the engine, by the most reliable data available.
     const std::vector<resident_model>&
     resident(const server& one, instant now) const;
 
-    /// @return Whether its service's requests need a model.
+    /// @return Whether the server is a model engine.
     bool is_engine(const server& one) const;
 
     const std::map<std::string, server, std::less<>>& servers() const
@@ -155,7 +159,7 @@
 
 private:
     void make_catalogue();
-    /// A server came to an address, or left it.
+    /// Adds a server to the index by address, or removes it.
     void settle(const server& arrived);
     void settle_without(std::string_view id, const std::string& address);
     void find_superseded(const std::string& address);
@@ -171,8 +175,8 @@
     std::shared_ptr<const deployment> current;
     std::shared_ptr<const servable_catalogue> catalogue;
     std::map<std::string, server, std::less<>> known; ///< by id
-    /// Ids of the known servers by their addresses: of thousands, one or two
-    /// share one.
+    /// Ids of the known servers by address. Of thousands of servers, only one
+    /// or two share an address.
     std::unordered_map<std::string, std::set<std::string, std::less<>>> at;
     std::unordered_map<std::string, engine_id> numbers;
     std::unordered_map<std::string, servable_id> servable_numbers;
@@ -185,7 +189,7 @@
         instant heard;
     };
 
-    std::unordered_map<std::string, outlook> outlooks; ///< by model's key
+    std::unordered_map<std::string, outlook> outlooks; ///< by model key
 };
 
 } // namespace roseworks
