--- a/src/core/pacing/server_limits.cpp
+++ b/src/core/pacing/server_limits.cpp
@@ -12,17 +12,17 @@
 
 /// Floor for announced limits. A limited server must still get some requests,
 /// because its answers show when the limit ends.
-constexpr double least_per_second = 0.02;
+constexpr double min_per_second = 0.02;
 
 /// Above the rate of any real server.
-constexpr double most_per_second = 1e6;
+constexpr double max_per_second = 1e6;
 
 /// Cap for ages in received messages (one hour).
-constexpr std::int64_t longest_us = 3'600'000'000;
+constexpr std::int64_t max_age_us = 3'600'000'000;
 
-double bounded(double per_second)
+double clamp_rate(double per_second)
 {
-    return std::clamp(per_second, least_per_second, most_per_second);
+    return std::clamp(per_second, min_per_second, max_per_second);
 }
 
 } // namespace
@@ -34,121 +34,126 @@
 
 server_limits::entry* server_limits::find_or_add(std::string_view server)
 {
-    const auto found = this->known.find(server);
-    if (found != this->known.end())
+    const auto found = this->entries.find(server);
+    if (found != this->entries.end())
         return &found->second;
-    if (this->known.size() >= this->settings.most_servers)
+    if (this->entries.size() >= this->settings.max_servers)
         return nullptr;
-    entry& added = this->known[std::string(server)];
+    entry& added = this->entries[std::string(server)];
     added.limit.server = server;
     return &added;
 }
 
-bool server_limits::take(entry& one, double per_second, instant seen)
+bool server_limits::set_limit(entry& record, double per_second, instant seen)
 {
-    const bool changed = one.limit.per_second != per_second;
-    one.limit.per_second = per_second;
-    one.limit.seen = seen;
+    const bool changed = record.limit.per_second != per_second;
+    record.limit.per_second = per_second;
+    record.limit.seen = seen;
     if (changed)
-        this->changes.push_back(one.limit);
+        this->changes.push_back(record.limit);
     return changed;
 }
 
-void server_limits::tell(entry& one, instant now)
+void server_limits::announce(entry& record, instant now)
 {
-    one.told = now;
-    one.tellings_left = std::max(one.tellings_left - 1, 0);
-    this->to_tell.push_back(one.limit.server);
+    record.announced_at = now;
+    record.announcements_left = std::max(record.announcements_left - 1, 0);
+    this->pending_announcements.push_back(record.limit.server);
 }
 
 void server_limits::answered(
     std::string_view server,
-    std::optional<double> named,
+    std::optional<double> announced,
     instant sent,
     instant now)
 {
-    if (!named && this->limit_of(server) == 0)
+    if (!announced && this->limit_of(server) == 0)
         return;
-    entry* const one = this->find_or_add(server);
+    entry* const record = this->find_or_add(server);
     const bool is_overtaken =
-        !named && one != nullptr && sent < one->limit.seen;
-    if (one == nullptr || is_overtaken)
+        !announced && record != nullptr && sent < record->limit.seen;
+    if (record == nullptr || is_overtaken)
         return;
-    const bool was_limited = one->limit.per_second > 0;
-    const bool changed = named ? this->take(*one, bounded(*named), now)
-                               : this->take(*one, 0, sent);
+    const bool was_limited = record->limit.per_second > 0;
+    const bool changed =
+        announced ? this->set_limit(*record, clamp_rate(*announced), now)
+                  : this->set_limit(*record, 0, sent);
     if (changed)
-        one->tellings_left = this->settings.tellings;
+        record->announcements_left = this->settings.announcement_count;
     // Limits the message rate when a server changes its limit in each answer.
-    const duration pause =
-        changed ? this->settings.telling_pause : this->settings.confirm_pause;
-    if (was_limited != named.has_value() || now - one->told >= pause)
-        this->tell(*one, now);
+    const duration interval = changed ? this->settings.announcement_interval
+                                      : this->settings.refresh_interval;
+    if (was_limited != announced.has_value() ||
+        now - record->announced_at >= interval)
+        this->announce(*record, now);
 }
 
 void server_limits::heard(const server_limit_word& word, instant now)
 {
-    for (const told_server_limit& told : word.limits)
+    for (const told_server_limit& reported : word.limits)
     {
-        const auto age = std::clamp<std::int64_t>(told.age_us, 0, longest_us);
+        const auto age =
+            std::clamp<std::int64_t>(reported.age_us, 0, max_age_us);
         const instant seen = now - duration(age);
-        const bool makes_sense =
-            std::isfinite(told.per_second) && told.per_second >= 0;
-        const bool is_known = this->known.contains(told.server);
-        if (!makes_sense || (told.per_second == 0 && !is_known))
+        const bool is_valid =
+            std::isfinite(reported.per_second) && reported.per_second >= 0;
+        const bool is_known = this->entries.contains(reported.server);
+        if (!is_valid || (reported.per_second == 0 && !is_known))
             continue;
-        entry* const one = this->find_or_add(told.server);
-        if (one == nullptr || seen < one->limit.seen)
+        entry* const record = this->find_or_add(reported.server);
+        if (record == nullptr || seen < record->limit.seen)
             continue;
         const double per_second =
-            told.per_second == 0 ? 0 : bounded(told.per_second);
-        if (this->take(*one, per_second, seen))
-            one->tellings_left =
-                0; // the router that observed the change repeats it
-        one->told = now;
+            reported.per_second == 0 ? 0 : clamp_rate(reported.per_second);
+        if (this->set_limit(*record, per_second, seen))
+            // The router that observed the change repeats the message.
+            record->announcements_left = 0;
+        record->announced_at = now;
     }
 }
 
 void server_limits::forget(std::string_view server)
 {
-    const auto found = this->known.find(server);
-    if (found == this->known.end())
+    const auto found = this->entries.find(server);
+    if (found == this->entries.end())
         return;
     if (found->second.limit.per_second != 0)
         this->changes.push_back({std::string(server), 0, {}});
-    this->known.erase(found);
+    this->entries.erase(found);
 }
 
 void server_limits::tick(instant now)
 {
-    std::vector<std::string> old;
-    for (auto& [server, one] : this->known)
+    std::vector<std::string> expired;
+    for (auto& [server, record] : this->entries)
     {
-        const bool is_due = one.tellings_left > 0 &&
-                            now - one.told >= this->settings.telling_pause;
+        const bool is_due =
+            record.announcements_left > 0 &&
+            now - record.announced_at >= this->settings.announcement_interval;
         if (is_due)
-            this->tell(one, now);
-        const duration memory = one.limit.per_second == 0
-                                    ? this->settings.end_memory
-                                    : this->settings.lifetime;
-        if (now - one.limit.seen >= memory)
-            old.push_back(server);
+            this->announce(record, now);
+        const duration retention = record.limit.per_second == 0
+                                       ? this->settings.ended_limit_retention
+                                       : this->settings.limit_retention;
+        if (now - record.limit.seen >= retention)
+            expired.push_back(server);
     }
-    for (const std::string& server : old)
+    for (const std::string& server : expired)
         this->forget(server);
 }
 
 std::optional<instant> server_limits::next_tick() const
 {
     std::optional<instant> next;
-    for (const auto& [server, one] : this->known)
+    for (const auto& [server, record] : this->entries)
     {
-        const duration memory = one.limit.per_second == 0
-                                    ? this->settings.end_memory
-                                    : this->settings.lifetime;
-        const instant due = one.tellings_left > 0
-                                ? one.told + this->settings.telling_pause
-                                : one.limit.seen + memory;
+        const duration retention = record.limit.per_second == 0
+                                       ? this->settings.ended_limit_retention
+                                       : this->settings.limit_retention;
+        const instant due =
+            record.announcements_left > 0
+                ? record.announced_at + this->settings.announcement_interval
+                : record.limit.seen + retention;
         next = std::min(next.value_or(due), due);
     }
     return next;
@@ -156,17 +161,17 @@
 
 double server_limits::limit_of(std::string_view server) const
 {
-    const auto found = this->known.find(server);
-    return found == this->known.end() ? 0 : found->second.limit.per_second;
+    const auto found = this->entries.find(server);
+    return found == this->entries.end() ? 0 : found->second.limit.per_second;
 }
 
 std::vector<server_limit> server_limits::in_force() const
 {
     std::vector<server_limit> all;
-    for (const auto& [server, one] : this->known)
+    for (const auto& [server, record] : this->entries)
     {
-        if (one.limit.per_second > 0)
-            all.push_back(one.limit);
+        if (record.limit.per_second > 0)
+            all.push_back(record.limit);
     }
     return all;
 }
@@ -178,14 +183,15 @@
 
 std::optional<server_limit_word> server_limits::take_word(instant now)
 {
-    if (this->to_tell.empty())
+    if (this->pending_announcements.empty())
         return std::nullopt;
     server_limit_word word;
     word.router = this->settings.router;
-    for (const std::string& server : std::exchange(this->to_tell, {}))
+    for (const std::string& server :
+         std::exchange(this->pending_announcements, {}))
     {
-        const auto found = this->known.find(server);
-        if (found == this->known.end())
+        const auto found = this->entries.find(server);
+        if (found == this->entries.end())
             continue;
         const server_limit& limit = found->second.limit;
         word.limits.push_back(
--- a/src/core/pacing/server_limits.hpp
+++ b/src/core/pacing/server_limits.hpp
@@ -37,32 +37,32 @@
     {
         std::string router; ///< name of this router
         /// Number of times that a change is sent, as messages may be lost.
-        int tellings = 3;
+        int announcement_count = 3;
         /// Time between two messages about the same change.
-        duration telling_pause = std::chrono::milliseconds(150);
+        duration announcement_interval = std::chrono::milliseconds(150);
         /// Minimum time between messages that confirm an unchanged limit. Only
         /// a router that has just seen the limit sends them.
-        duration confirm_pause = std::chrono::seconds(1);
+        duration refresh_interval = std::chrono::seconds(1);
         /// How long an ended limit is kept, so that older messages that arrive
         /// late don't bring it back.
-        duration end_memory = std::chrono::seconds(10);
+        duration ended_limit_retention = std::chrono::seconds(10);
         /// A limit expires when it was not seen for this long, that is, when no
         /// router sent the server anything.
-        duration lifetime = std::chrono::seconds(60);
+        duration limit_retention = std::chrono::seconds(60);
         /// Limits of further servers are ignored.
-        std::size_t most_servers = 1024;
+        std::size_t max_servers = 1024;
     };
 
     explicit server_limits(options settings);
 
     /** Processes an answer of a server.
 
-        @param named Requests per second; empty when the answer has no limit.
-        @param sent  When the request of this answer was sent.
+        @param announced Requests per second; empty if the answer has no limit.
+        @param sent      When the request of this answer was sent.
     */
     void answered(
         std::string_view server,
-        std::optional<double> named,
+        std::optional<double> announced,
         instant sent,
         instant now);
 
@@ -93,19 +93,19 @@
     struct entry
     {
         server_limit limit;
-        instant told; ///< last message about it, from any router
-        int tellings_left = 0;
+        instant announced_at; ///< last message about it, from any router
+        int announcements_left = 0;
     };
 
     entry* find_or_add(std::string_view server);
     /// @return Whether the limit changed.
-    bool take(entry& known, double per_second, instant seen);
-    void tell(entry& known, instant now);
+    bool set_limit(entry& record, double per_second, instant seen);
+    void announce(entry& record, instant now);
 
     options settings;
-    std::map<std::string, entry, std::less<>> known;
+    std::map<std::string, entry, std::less<>> entries;
     std::vector<server_limit> changes;
-    std::vector<std::string> to_tell;
+    std::vector<std::string> pending_announcements;
 };
 
 } // namespace roseworks
--- a/src/core/quota/counted_limits.cpp
+++ b/src/core/quota/counted_limits.cpp
@@ -8,22 +8,22 @@
 
 /// Can't clash with an organisation: names don't begin with a control
 /// character.
-constexpr std::string_view server_prefix = "\x01server ";
+constexpr std::string_view server_account_prefix = "\x01server ";
 
 } // namespace
 
 counted_limits
 limits_of(const deployment& configuration, const quota_bounds& bounds)
 {
-    counted_limits made;
+    counted_limits limits;
     if (!configuration.organisations)
-        return made;
-    for (const organisation& one : *configuration.organisations)
+        return limits;
+    for (const organisation& entry : *configuration.organisations)
     {
-        if (one.limit)
-            made[one.name] = {*one.limit, bounds.slack, 0};
+        if (entry.limit)
+            limits[entry.name] = {*entry.limit, bounds.slack, 0};
     }
-    return made;
+    return limits;
 }
 
 counted_limit limit_of_server(double per_second)
@@ -34,17 +34,17 @@
 
 std::string server_account(std::string_view server)
 {
-    return std::string(server_prefix) + std::string(server);
+    return std::string(server_account_prefix) + std::string(server);
 }
 
 std::string_view server_of_account(std::string_view account)
 {
-    return account.substr(server_prefix.size());
+    return account.substr(server_account_prefix.size());
 }
 
 bool is_server_account(std::string_view account)
 {
-    return account.starts_with(server_prefix);
+    return account.starts_with(server_account_prefix);
 }
 
 } // namespace roseworks
--- a/src/core/quota/counted_limits.hpp
+++ b/src/core/quota/counted_limits.hpp
@@ -14,7 +14,7 @@
 /// A rate limit that applies to the sum of the usage at all routers.
 struct counted_limit
 {
-    usage_limit whole;
+    usage_limit total;
     double slack = 0; ///< tolerated on top of the limit in each window
     /// Minimum burst of a router that enforces its share locally, however small
     /// that share is.
--- a/src/core/quota/limit_share.hpp
+++ b/src/core/quota/limit_share.hpp
@@ -19,9 +19,9 @@
 };
 
 /// @return The given fraction of a limit.
-inline usage_limit share_of(const usage_limit& whole, double part)
+inline usage_limit share_of(const usage_limit& whole, double fraction)
 {
-    return {whole.per_second * part, whole.burst * part};
+    return {whole.per_second * fraction, whole.burst * fraction};
 }
 
 /** @return How long a contact between router and accountant stays valid.
@@ -33,9 +33,9 @@
 {
     constexpr duration shortest = std::chrono::milliseconds(200);
     constexpr duration longest = std::chrono::milliseconds(1000);
-    const auto covered = std::chrono::duration_cast<duration>(
+    const auto covered_time = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(bounds.window) * bounds.excess);
-    return std::clamp(covered, shortest, longest);
+    return std::clamp(covered_time, shortest, longest);
 }
 
 } // namespace roseworks
--- a/src/core/quota/quota_accountant.cpp
+++ b/src/core/quota/quota_accountant.cpp
@@ -10,33 +10,33 @@
 {
 
 /// Results kept per router, to answer repeated draws without counting twice.
-constexpr std::size_t most_answered = 32;
+constexpr std::size_t max_cached_results = 32;
 
 /// Routers that were not heard for this long are forgotten.
-constexpr duration forgotten_after = std::chrono::seconds(60);
+constexpr duration router_retention = std::chrono::seconds(60);
 
 /// Cap for times in received messages (one hour).
-constexpr std::int64_t longest_us = 3'600'000'000;
+constexpr std::int64_t max_time_us = 3'600'000'000;
 
 /// Above the cost of any request. A larger amount, a negative one or NaN would
 /// corrupt a bucket for all routers that draw from it.
-constexpr double largest_amount = 1e12;
+constexpr double max_amount = 1e12;
 
 /// Organisations and servers together; further servers are not counted.
-constexpr std::size_t most_accounts = 10'000;
+constexpr std::size_t max_accounts = 10'000;
 
-bool makes_sense(double amount)
+bool is_valid_amount(double amount)
 {
-    return amount >= 0 && amount <= largest_amount;
+    return amount >= 0 && amount <= max_amount;
 }
 
-duration bounded(std::int64_t us)
+duration clamp_time(std::int64_t us)
 {
-    return duration(std::clamp<std::int64_t>(us, 0, longest_us));
+    return duration(std::clamp<std::int64_t>(us, 0, max_time_us));
 }
 
 /// Interval between two counts of the active routers.
-constexpr duration count_pause = std::chrono::milliseconds(20);
+constexpr duration count_interval = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -48,17 +48,17 @@
 
 void quota_accountant::limits_changed(const counted_limits& all, instant now)
 {
-    this->advance(now);
+    this->refill_buckets(now);
     std::map<std::string, account, std::less<>> next;
-    for (const auto& [one, limit] : all)
+    for (const auto& [name, limit] : all)
     {
-        account& added = next[one];
-        const auto before = this->limited.find(one);
-        if (before != this->limited.end())
+        account& added = next[name];
+        const auto before = this->accounts_by_name.find(name);
+        if (before != this->accounts_by_name.end())
             added = before->second;
-        added.limit = limit.whole;
+        added.limit = limit.total;
     }
-    this->limited = std::move(next);
+    this->accounts_by_name = std::move(next);
 }
 
 void quota_accountant::routers_known(std::size_t count)
@@ -71,115 +71,122 @@
     router& from = this->routers[ask.router];
     // The router regards the contact as lost after the same time.
     if (ask.heard_ago_us >= 0)
-        from.heard_until = std::max(
-            from.heard_until,
-            now - bounded(ask.heard_ago_us) + contact_life(this->bounds));
-    from.counts_from =
-        ask.counts_in_us < 0 ? instant::max() : now + bounded(ask.counts_in_us);
-    this->advance(now);
-    for (const quota_return& what : ask.returns)
-        this->give_back(what);
+        from.contact_until = std::max(
+            from.contact_until,
+            now - clamp_time(ask.heard_ago_us) + contact_life(this->bounds));
+    from.counted_from = ask.counts_in_us < 0
+                            ? instant::max()
+                            : now + clamp_time(ask.counts_in_us);
+    this->refill_buckets(now);
+    for (const quota_return& returned : ask.returns)
+        this->apply_return(returned);
     quota_answer answer;
     answer.accountant = this->name;
     for (const quota_draw& draw : ask.draws)
-        answer.results.push_back(this->settle(draw, from));
+        answer.results.push_back(this->evaluate(draw, from));
     return answer;
 }
 
-quota_result quota_accountant::settle(const quota_draw& draw, router& from)
+quota_result quota_accountant::evaluate(const quota_draw& draw, router& from)
 {
     const auto before =
-        std::ranges::find(from.answered, draw.id, &quota_result::id);
-    if (before != from.answered.end())
+        std::ranges::find(from.recent_results, draw.id, &quota_result::id);
+    if (before != from.recent_results.end())
         return *before;
-    if (!makes_sense(draw.amount))
+    if (!is_valid_amount(draw.amount))
         return {draw.id, false, 0};
     quota_result result{draw.id, true, 0};
     if (account* const found = this->find_account(draw))
     {
-        account& one = *found;
-        const usage_limit terms = share_of(one.limit, this->part);
-        const auto wait =
-            one.bucket.take(draw.amount, bounded(draw.longest_wait_us), terms);
+        account& entry = *found;
+        const usage_limit bucket_limit =
+            share_of(entry.limit, this->active_fraction);
+        const auto wait = entry.bucket.take(
+            draw.amount, clamp_time(draw.longest_wait_us), bucket_limit);
         result.is_allowed = wait.has_value();
-        (wait ? one.used : one.refused) += draw.amount;
+        (wait ? entry.used : entry.refused) += draw.amount;
         result.wait_us =
-            wait.value_or(one.bucket.until(draw.amount, terms)).count();
+            wait.value_or(entry.bucket.time_until(draw.amount, bucket_limit))
+                .count();
     }
     if (!result.is_allowed)
-        return result; // no tokens were taken, so a repeated draw is evaluated
-                       // again
-    from.answered.push_front(result);
-    if (from.answered.size() > most_answered)
-        from.answered.pop_back();
+        // No tokens were taken, so a repeated draw is evaluated again.
+        return result;
+    from.recent_results.push_front(result);
+    if (from.recent_results.size() > max_cached_results)
+        from.recent_results.pop_back();
     return result;
 }
 
 quota_accountant::account*
 quota_accountant::find_account(const quota_draw& draw)
 {
-    const auto found = this->limited.find(draw.organisation);
-    if (found != this->limited.end())
+    const auto found = this->accounts_by_name.find(draw.organisation);
+    if (found != this->accounts_by_name.end())
         return &found->second;
-    const bool is_named = is_server_account(draw.organisation) &&
-                          draw.named_per_second > 0 &&
-                          makes_sense(draw.named_per_second);
-    if (!is_named || this->limited.size() >= most_accounts)
+    const bool is_announced = is_server_account(draw.organisation) &&
+                              draw.named_per_second > 0 &&
+                              is_valid_amount(draw.named_per_second);
+    if (!is_announced || this->accounts_by_name.size() >= max_accounts)
         return nullptr;
     // The message about this limit is delayed or was lost.
-    account& added = this->limited[draw.organisation];
-    added.limit = limit_of_server(draw.named_per_second).whole;
+    account& added = this->accounts_by_name[draw.organisation];
+    added.limit = limit_of_server(draw.named_per_second).total;
     return &added;
 }
 
-void quota_accountant::give_back(const quota_return& what)
+void quota_accountant::apply_return(const quota_return& returned)
 {
-    const auto found = this->limited.find(what.organisation);
-    if (found == this->limited.end() || !makes_sense(what.amount))
+    const auto found = this->accounts_by_name.find(returned.organisation);
+    if (found == this->accounts_by_name.end() ||
+        !is_valid_amount(returned.amount))
         return;
-    account& one = found->second;
-    one.bucket.put_back(what.amount, share_of(one.limit, this->part));
-    one.used -= what.amount;
+    account& entry = found->second;
+    entry.bucket.return_tokens(
+        returned.amount, share_of(entry.limit, this->active_fraction));
+    entry.used -= returned.amount;
 }
 
 void quota_accountant::tick(instant now)
 {
-    this->advance(now);
+    this->refill_buckets(now);
 }
 
-void quota_accountant::advance(instant now)
+void quota_accountant::refill_buckets(instant now)
 {
-    if (now - this->advanced < count_pause)
+    if (now - this->last_refill < count_interval)
         return;
     // After a process freeze, routers that were heard before have moved to
     // another accountant.
     const duration elapsed =
-        std::min<duration>(now - this->advanced, contact_life(this->bounds));
-    this->advanced = now;
+        std::min<duration>(now - this->last_refill, contact_life(this->bounds));
+    this->last_refill = now;
     if (this->routers.size() > 2 * this->known_routers)
         std::erase_if(
             this->routers,
-            [now](const auto& one)
+            [now](const auto& entry)
             {
-                return one.second.heard_until + forgotten_after < now;
+                return entry.second.contact_until + router_retention < now;
             });
-    const auto heard = std::ranges::count_if(
+    const auto active_routers = std::ranges::count_if(
         this->routers,
-        [now](const auto& one)
+        [now](const auto& entry)
         {
-            return one.second.heard_until > now &&
-                   one.second.counts_from <= now;
+            return entry.second.contact_until > now &&
+                   entry.second.counted_from <= now;
         });
-    const double part = this->known_routers == 0
-                            ? 0
-                            : static_cast<double>(heard) /
-                                  static_cast<double>(this->known_routers);
+    const double active_fraction =
+        this->known_routers == 0 ? 0
+                                 : static_cast<double>(active_routers) /
+                                       static_cast<double>(this->known_routers);
     // A router that was just added contributes from now on, not for the elapsed
     // time.
-    const double filled = std::min(this->part, part);
-    for (auto& [organisation, one] : this->limited)
-        one.bucket.fill(elapsed, share_of(one.limit, std::min(filled, 1.0)));
-    this->part = std::min(part, 1.0);
+    const double refill_fraction =
+        std::min(this->active_fraction, active_fraction);
+    for (auto& [organisation, entry] : this->accounts_by_name)
+        entry.bucket.refill(
+            elapsed, share_of(entry.limit, std::min(refill_fraction, 1.0)));
+    this->active_fraction = std::min(active_fraction, 1.0);
 }
 
 } // namespace roseworks
--- a/src/core/quota/quota_accountant.hpp
+++ b/src/core/quota/quota_accountant.hpp
@@ -54,38 +54,38 @@
 
     const std::map<std::string, account, std::less<>>& accounts() const
     {
-        return this->limited;
+        return this->accounts_by_name;
     }
 
     /// @return The fraction of all routers that report to this accountant.
     double share() const
     {
-        return this->part;
+        return this->active_fraction;
     }
 
 private:
     struct router
     {
-        instant heard_until;
-        instant counts_from =
+        instant contact_until;
+        instant counted_from =
             instant::max(); ///< until then another accountant counts it
         std::deque<quota_result>
-            answered; ///< latest allowed draws, newest first
+            recent_results; ///< latest allowed draws, newest first
     };
 
-    quota_result settle(const quota_draw& draw, router& from);
+    quota_result evaluate(const quota_draw& draw, router& from);
     /// @return Null for an account without a limit.
     account* find_account(const quota_draw& draw);
-    void give_back(const quota_return& what);
-    void advance(instant now);
+    void apply_return(const quota_return& returned);
+    void refill_buckets(instant now);
 
     std::string name;
     quota_bounds bounds;
-    std::map<std::string, account, std::less<>> limited;
+    std::map<std::string, account, std::less<>> accounts_by_name;
     std::unordered_map<std::string, router> routers;
     std::size_t known_routers = 0; ///< 0: not known yet
-    double part = 0;
-    instant advanced;
+    double active_fraction = 0;
+    instant last_refill;
 };
 
 } // namespace roseworks
--- a/src/core/quota/quota_client.cpp
+++ b/src/core/quota/quota_client.cpp
@@ -10,20 +10,20 @@
 {
 
 /// Interval between messages to an accountant that doesn't answer.
-constexpr duration probe_pause = std::chrono::milliseconds(100);
+constexpr duration probe_interval = std::chrono::milliseconds(100);
 
 /// A tick that is later than this shows that this process was suspended.
 /// Missing answers are then no sign of an accountant's failure.
-constexpr duration usual_lateness = std::chrono::milliseconds(30);
+constexpr duration max_tick_delay = std::chrono::milliseconds(30);
 
 /// Returns that wait for the next message; more are dropped.
-constexpr std::size_t most_returns = 64;
+constexpr std::size_t max_pending_returns = 64;
 
 /// Longest retry delay for a refused caller, as limits and shares change.
-constexpr duration longest_retry = std::chrono::seconds(5);
+constexpr duration max_retry_after = std::chrono::seconds(5);
 
 /// Messages per contact timeout: a contact survives the loss of two.
-constexpr int words_per_contact = 3;
+constexpr int messages_per_timeout = 3;
 
 double seconds(duration length)
 {
@@ -36,43 +36,44 @@
     : settings(std::move(chosen))
     , last_id(this->settings.seed)
 {
-    constexpr decide ways[] = {
-        &quota_client::ask_accountant, &quota_client::use_own_part};
-    this->way = ways[static_cast<std::size_t>(this->settings.way)];
+    constexpr decision_method methods[] = {
+        &quota_client::ask_accountant, &quota_client::decide_locally};
+    this->method = methods[static_cast<std::size_t>(this->settings.way)];
 }
 
 void quota_client::limits_changed(counted_limits all)
 {
     this->limits = std::move(all);
     std::erase_if(
-        this->own,
-        [this](const auto& one)
+        this->local_buckets,
+        [this](const auto& entry)
         {
-            return !this->limits.contains(one.first);
+            return !this->limits.contains(entry.first);
         });
 }
 
 void quota_client::accountants_known(
     std::vector<std::string> names, std::size_t known)
 {
-    this->known_routers = std::max<std::size_t>(known, 1);
+    this->router_count = std::max<std::size_t>(known, 1);
     const std::string chosen(this->accountant());
-    std::vector<candidate> next;
+    std::vector<accountant_contact> next;
     for (std::string& name : names)
     {
         const auto before =
-            std::ranges::find(this->candidates, name, &candidate::name);
-        if (before != this->candidates.end())
+            std::ranges::find(this->contacts, name, &accountant_contact::name);
+        if (before != this->contacts.end())
             next.push_back(std::move(*before));
         else
             next.emplace_back().name = std::move(name);
     }
-    this->candidates = std::move(next);
+    this->contacts = std::move(next);
     // Keep an accountant that answers when the list is updated.
-    const auto still =
-        std::ranges::find(this->candidates, chosen, &candidate::name);
-    this->current = static_cast<std::size_t>(still - this->candidates.begin());
-    this->choose(this->ticked);
+    const auto kept =
+        std::ranges::find(this->contacts, chosen, &accountant_contact::name);
+    this->current_index =
+        static_cast<std::size_t>(kept - this->contacts.begin());
+    this->choose_accountant(this->last_tick);
 }
 
 std::uint64_t quota_client::draw(
@@ -82,346 +83,361 @@
     instant now)
 {
     const std::uint64_t id = ++this->last_id;
-    pending added;
+    pending_draw added;
     added.draw = {
         id,
         std::string(organisation),
         amount,
         std::max(longest_wait, duration::zero()).count(),
-        this->named_limit(organisation)};
-    added.asked = now;
-    added.sent = now;
+        this->announced_limit(organisation)};
+    added.created_at = now;
+    added.last_sent_at = now;
     this->waiting.emplace(id, std::move(added));
-    (this->*this->way)(id, now);
+    (this->*this->method)(id, now);
     return id;
 }
 
-double quota_client::named_limit(std::string_view account) const
+double quota_client::announced_limit(std::string_view account) const
 {
     const auto limit = this->limits.find(account);
-    const bool is_named =
+    const bool is_announced =
         limit != this->limits.end() && is_server_account(account);
-    return is_named ? limit->second.whole.per_second : 0;
+    return is_announced ? limit->second.total.per_second : 0;
 }
 
 void quota_client::ask_accountant(std::uint64_t id, instant now)
 {
-    if (this->current >= this->candidates.size())
+    if (this->current_index >= this->contacts.size())
     {
-        this->use_own_part(id, now);
+        this->decide_locally(id, now);
         return;
     }
-    this->say(
-        this->candidates[this->current], {this->waiting.at(id).draw}, now);
-    this->due_by(now + this->settings.resend);
+    this->send_query(
+        this->contacts[this->current_index], {this->waiting.at(id).draw}, now);
+    this->schedule_by(now + this->settings.resend);
 }
 
-void quota_client::use_own_part(std::uint64_t id, instant now)
+void quota_client::decide_locally(std::uint64_t id, instant now)
 {
     const auto found = this->waiting.find(id);
     const quota_draw draw = std::move(found->second.draw);
     this->waiting.erase(found);
-    quota_decision made{id, true, {}, {}};
+    quota_decision decision{id, true, {}, {}};
     const auto limit = this->limits.find(draw.organisation);
     if (limit != this->limits.end())
     {
-        this->fill_own(now);
-        const usage_limit terms = this->own_terms(limit->second, now);
-        token_bucket& bucket = this->own[draw.organisation];
-        made.retry_after = std::clamp(
-            bucket.until(draw.amount, terms),
+        this->refill_local_buckets(now);
+        const usage_limit bucket_limit = this->local_limit(limit->second, now);
+        token_bucket& bucket = this->local_buckets[draw.organisation];
+        decision.retry_after = std::clamp(
+            bucket.time_until(draw.amount, bucket_limit),
             this->settings.give_up,
-            longest_retry);
+            max_retry_after);
         // A request above this router's burst could pass at every router.
-        const auto wait =
-            draw.amount > terms.burst
-                ? std::nullopt
-                : bucket.take(
-                      draw.amount, duration(draw.longest_wait_us), terms);
-        made.is_allowed = wait.has_value();
-        made.wait = wait.value_or(duration::zero());
+        const auto wait = draw.amount > bucket_limit.burst
+                              ? std::nullopt
+                              : bucket.take(
+                                    draw.amount,
+                                    duration(draw.longest_wait_us),
+                                    bucket_limit);
+        decision.is_allowed = wait.has_value();
+        decision.wait = wait.value_or(duration::zero());
     }
-    this->decisions.push_back(made);
+    this->decisions.push_back(decision);
 }
 
-double quota_client::own_part() const
+double quota_client::own_fraction() const
 {
-    if (this->known_routers == 0)
+    if (this->router_count == 0)
         return 0;
-    return 1.0 / static_cast<double>(this->known_routers);
+    return 1.0 / static_cast<double>(this->router_count);
 }
 
 usage_limit
-quota_client::own_terms(const counted_limit& limit, instant now) const
+quota_client::local_limit(const counted_limit& limit, instant now) const
 {
-    /// Fractions of the slack. While an accountant counts, the slack bucket
-    /// refills once per window, so it gives at most twice its size in any
-    /// window. Otherwise the slack is used only once.
-    constexpr double with_accountant = 0.5;
-    constexpr double without = 0.95;
-    const bool by_itself = this->settings.way == quota_way::own_share;
-    const double part = this->own_part();
+    /// Fractions of the slack. With accountants, the slack bucket may refill
+    /// once per window, so it gives at most twice its size in any window. With
+    /// local shares only, the slack never refills and is used once.
+    constexpr double slack_use_with_accountant = 0.5;
+    constexpr double slack_use_without = 0.95;
+    const bool uses_local_shares = this->settings.way == quota_way::own_share;
+    const double fraction = this->own_fraction();
     const double slack =
-        limit.slack * part * (by_itself ? without : with_accountant);
-    usage_limit terms = share_of(limit.whole, part);
-    terms.burst = std::max(terms.burst, limit.least_burst) + slack;
-    if (!by_itself && !this->is_alone(now))
-        terms = {slack / seconds(this->settings.bounds.window), slack};
-    return terms;
+        limit.slack * fraction *
+        (uses_local_shares ? slack_use_without : slack_use_with_accountant);
+    usage_limit bucket_limit = share_of(limit.total, fraction);
+    bucket_limit.burst =
+        std::max(bucket_limit.burst, limit.least_burst) + slack;
+    if (!uses_local_shares && !this->has_no_accountant(now))
+        bucket_limit = {slack / seconds(this->settings.bounds.window), slack};
+    return bucket_limit;
 }
 
-void quota_client::fill_own(instant now)
+void quota_client::refill_local_buckets(instant now)
 {
-    if (this->own_filled == instant())
-        this->own_filled =
-            now; // earlier usage isn't known, so buckets start empty
-    const duration elapsed = now - this->own_filled;
-    this->own_filled = now;
+    if (this->last_local_refill == instant())
+        // Earlier usage isn't known, so buckets start empty.
+        this->last_local_refill = now;
+    const duration elapsed = now - this->last_local_refill;
+    this->last_local_refill = now;
     for (const auto& [name, limit] : this->limits)
-        this->own[name].fill(elapsed, this->own_terms(limit, now));
+        this->local_buckets[name].refill(
+            elapsed, this->local_limit(limit, now));
 }
 
-bool quota_client::is_alone(instant now) const
+bool quota_client::has_no_accountant(instant now) const
 {
-    const duration life = contact_life(this->settings.bounds);
+    const duration timeout = contact_life(this->settings.bounds);
     return std::ranges::none_of(
-        this->candidates,
-        [now, life](const candidate& one)
+        this->contacts,
+        [now, timeout](const accountant_contact& contact)
         {
-            return one.answered && now - *one.answered <= life;
+            return contact.last_answer_at &&
+                   now - *contact.last_answer_at <= timeout;
         });
 }
 
-bool quota_client::is_settled(const candidate& one, instant now) const
+bool quota_client::is_ready(
+    const accountant_contact& contact, instant now) const
 {
-    const duration life = contact_life(this->settings.bounds);
-    return !one.is_silent && one.answered && now - *one.answered <= life &&
-           one.counts_from <= now && now - one.since >= life / 2;
+    const duration timeout = contact_life(this->settings.bounds);
+    return !contact.is_unresponsive && contact.last_answer_at &&
+           now - *contact.last_answer_at <= timeout &&
+           contact.counted_from <= now &&
+           now - contact.contact_since >= timeout / 2;
 }
 
-void quota_client::choose(instant now)
+void quota_client::choose_accountant(instant now)
 {
-    const bool has_one = this->current < this->candidates.size() &&
-                         !this->candidates[this->current].is_silent;
+    const bool has_accountant =
+        this->current_index < this->contacts.size() &&
+        !this->contacts[this->current_index].is_unresponsive;
     // Switch from an accountant that answers to a preferred one only when that
     // is in contact with the other routers, too: it grants only the share of
     // the routers that report to it.
-    for (std::size_t i = 0; i < this->candidates.size(); ++i)
+    for (std::size_t i = 0; i < this->contacts.size(); ++i)
     {
-        const candidate& one = this->candidates[i];
-        const bool fits = has_one ? this->is_settled(one, now) : !one.is_silent;
-        if (i == this->current && has_one)
+        const accountant_contact& contact = this->contacts[i];
+        const bool fits = has_accountant ? this->is_ready(contact, now)
+                                         : !contact.is_unresponsive;
+        if (i == this->current_index && has_accountant)
             return;
         if (!fits)
             continue;
-        this->current = i;
+        this->current_index = i;
         return;
     }
-    this->current = this->candidates.size();
+    this->current_index = this->contacts.size();
 }
 
-void quota_client::let_count(candidate& one, instant now)
+void quota_client::start_contact(accountant_contact& contact, instant now)
 {
-    const duration life = contact_life(this->settings.bounds);
+    const duration timeout = contact_life(this->settings.bounds);
     std::optional<instant> other;
-    for (const candidate& before : this->candidates)
+    for (const accountant_contact& before : this->contacts)
     {
-        const bool counts = &before != &one && before.answered &&
-                            before.counts_from <= now &&
-                            now - *before.answered <= life;
+        const bool counts = &before != &contact && before.last_answer_at &&
+                            before.counted_from <= now &&
+                            now - *before.last_answer_at <= timeout;
         if (counts)
-            other = std::max(other.value_or(instant()), *before.answered);
+            other = std::max(other.value_or(instant()), *before.last_answer_at);
     }
     // The tolerated excess covers one double count of a router per window.
     const bool may_overlap =
-        !this->overlapped ||
-        now - *this->overlapped >= this->settings.bounds.window;
-    const bool is_current = this->accountant() == one.name;
-    one.since = now;
+        !this->last_overlap ||
+        now - *this->last_overlap >= this->settings.bounds.window;
+    const bool is_current = this->accountant() == contact.name;
+    contact.contact_since = now;
     if (!other || may_overlap)
-        one.counts_from = now;
+        contact.counted_from = now;
     else
-        one.counts_from = is_current ? *other + life : instant::max();
+        contact.counted_from = is_current ? *other + timeout : instant::max();
     if (other && may_overlap)
-        this->overlapped = now;
+        this->last_overlap = now;
 }
 
 std::string_view quota_client::accountant() const
 {
-    if (this->current >= this->candidates.size())
+    if (this->current_index >= this->contacts.size())
         return {};
-    return this->candidates[this->current].name;
+    return this->contacts[this->current_index].name;
 }
 
-void quota_client::say(
-    candidate& to, std::vector<quota_draw> draws, instant now)
+void quota_client::send_query(
+    accountant_contact& to, std::vector<quota_draw> draws, instant now)
 {
     quota_ask ask;
     ask.router = this->settings.router;
-    if (to.answered)
-        ask.heard_ago_us = duration(now - *to.answered).count();
-    if (to.counts_from != instant::max())
+    if (to.last_answer_at)
+        ask.heard_ago_us = duration(now - *to.last_answer_at).count();
+    if (to.counted_from != instant::max())
         ask.counts_in_us =
-            std::max(duration(to.counts_from - now), duration::zero()).count();
+            std::max(duration(to.counted_from - now), duration::zero()).count();
     ask.draws = std::move(draws);
     ask.returns = std::exchange(this->returns, {});
-    to.told = now;
-    if (!to.asked)
-        to.asked = now;
-    this->due_by(now + this->settings.next_accountant);
+    to.last_message_at = now;
+    if (!to.unanswered_since)
+        to.unanswered_since = now;
+    this->schedule_by(now + this->settings.next_accountant);
     this->messages.push_back({to.name, std::move(ask)});
 }
 
 void quota_client::give_back(
     std::string_view organisation, double amount, instant now)
 {
-    const bool by_itself = this->settings.way == quota_way::own_share;
-    if (!by_itself && !this->is_alone(now))
+    const bool uses_local_shares = this->settings.way == quota_way::own_share;
+    if (!uses_local_shares && !this->has_no_accountant(now))
     {
-        if (this->returns.size() < most_returns)
+        if (this->returns.size() < max_pending_returns)
             this->returns.push_back({std::string(organisation), amount});
         return;
     }
     const auto limit = this->limits.find(organisation);
     if (limit != this->limits.end())
-        this->own[limit->first].put_back(
-            amount, this->own_terms(limit->second, now));
+        this->local_buckets[limit->first].return_tokens(
+            amount, this->local_limit(limit->second, now));
 }
 
 void quota_client::heard(const quota_answer& answer, instant now)
 {
     const auto from = std::ranges::find(
-        this->candidates, answer.accountant, &candidate::name);
-    if (from == this->candidates.end())
+        this->contacts, answer.accountant, &accountant_contact::name);
+    if (from == this->contacts.end())
         return;
     const bool is_new =
-        !from->answered ||
-        now - *from->answered > contact_life(this->settings.bounds);
-    from->answered = now;
-    from->asked.reset();
-    from->is_silent = false;
-    const bool begins = is_new || from->counts_from == instant::max();
-    if (begins)
-        this->let_count(*from, now);
-    this->choose(now);
+        !from->last_answer_at ||
+        now - *from->last_answer_at > contact_life(this->settings.bounds);
+    from->last_answer_at = now;
+    from->unanswered_since.reset();
+    from->is_unresponsive = false;
+    const bool starts_contact = is_new || from->counted_from == instant::max();
+    if (starts_contact)
+        this->start_contact(*from, now);
+    this->choose_accountant(now);
     // An accountant counts this router only when it knows that its answers
     // arrive.
-    if (begins && from->counts_from != instant::max())
-        this->say(*from, {}, now);
+    if (starts_contact && from->counted_from != instant::max())
+        this->send_query(*from, {}, now);
     const bool is_final =
-        answer.accountant == this->accountant() && this->is_settled(*from, now);
+        answer.accountant == this->accountant() && this->is_ready(*from, now);
     for (const quota_result& result : answer.results)
     {
         const auto found = this->waiting.find(result.id);
         if (result.is_allowed || is_final)
-            this->settle(result);
+            this->resolve(result);
         else if (found != this->waiting.end())
-            found->second.refused = result;
+            found->second.provisional_refusal = result;
     }
 }
 
-void quota_client::settle(const quota_result& result)
+void quota_client::resolve(const quota_result& result)
 {
     const auto found = this->waiting.find(result.id);
     if (found == this->waiting.end())
         return;
-    const duration longest = result.is_allowed
-                                 ? duration(found->second.draw.longest_wait_us)
-                                 : longest_retry;
+    const duration max_wait = result.is_allowed
+                                  ? duration(found->second.draw.longest_wait_us)
+                                  : max_retry_after;
     const duration wait =
-        std::clamp(duration(result.wait_us), duration::zero(), longest);
+        std::clamp(duration(result.wait_us), duration::zero(), max_wait);
     this->waiting.erase(found);
-    quota_decision made{result.id, result.is_allowed, {}, {}};
-    (result.is_allowed ? made.wait : made.retry_after) = wait;
-    this->decisions.push_back(made);
+    quota_decision decision{result.id, result.is_allowed, {}, {}};
+    (result.is_allowed ? decision.wait : decision.retry_after) = wait;
+    this->decisions.push_back(decision);
 }
 
 void quota_client::tick(instant now)
 {
-    const bool stood_still =
-        this->ticked != instant() && now - this->due > usual_lateness;
-    this->ticked = now;
-    this->due = now + contact_life(this->settings.bounds) / words_per_contact;
-    this->fill_own(now);
+    const bool was_suspended =
+        this->last_tick != instant() && now - this->next_due > max_tick_delay;
+    this->last_tick = now;
+    this->next_due =
+        now + contact_life(this->settings.bounds) / messages_per_timeout;
+    this->refill_local_buckets(now);
     if (this->settings.way == quota_way::own_share)
         return;
-    if (stood_still)
+    if (was_suspended)
     {
-        for (candidate& one : this->candidates)
-            one.asked.reset();
+        for (accountant_contact& contact : this->contacts)
+            contact.unanswered_since.reset();
     }
-    this->find_silent(now);
-    this->choose(now);
-    this->repeat_draws(now);
-    this->say_alive(now);
+    this->detect_unresponsive(now);
+    this->choose_accountant(now);
+    this->resend_draws(now);
+    this->send_keepalives(now);
 }
 
-void quota_client::find_silent(instant now)
+void quota_client::detect_unresponsive(instant now)
 {
-    for (candidate& one : this->candidates)
+    for (accountant_contact& contact : this->contacts)
     {
-        if (!one.asked)
+        if (!contact.unanswered_since)
             continue;
-        if (now - *one.asked >= this->settings.next_accountant)
+        if (now - *contact.unanswered_since >= this->settings.next_accountant)
         {
-            one.is_silent = true;
-            one.asked.reset();
+            contact.is_unresponsive = true;
+            contact.unanswered_since.reset();
         }
         else
-            this->due_by(*one.asked + this->settings.next_accountant);
+            this->schedule_by(
+                *contact.unanswered_since + this->settings.next_accountant);
     }
 }
 
-void quota_client::repeat_draws(instant now)
+void quota_client::resend_draws(instant now)
 {
-    std::vector<std::uint64_t> given_up;
-    std::vector<quota_draw> again;
-    for (auto& [id, one] : this->waiting)
+    std::vector<std::uint64_t> timed_out;
+    std::vector<quota_draw> resent;
+    for (auto& [id, entry] : this->waiting)
     {
-        if (now - one.asked >= this->settings.give_up)
+        if (now - entry.created_at >= this->settings.give_up)
         {
-            given_up.push_back(id);
+            timed_out.push_back(id);
             continue;
         }
-        if (now - one.sent >= this->settings.resend)
+        if (now - entry.last_sent_at >= this->settings.resend)
         {
-            one.sent = now;
-            again.push_back(one.draw);
+            entry.last_sent_at = now;
+            resent.push_back(entry.draw);
         }
-        this->due_by(one.sent + this->settings.resend);
+        this->schedule_by(entry.last_sent_at + this->settings.resend);
     }
-    for (const std::uint64_t id : given_up)
+    for (const std::uint64_t id : timed_out)
     {
-        const auto refused = this->waiting.at(id).refused;
-        if (refused)
-            this->settle(*refused);
+        const auto provisional_refusal =
+            this->waiting.at(id).provisional_refusal;
+        if (provisional_refusal)
+            this->resolve(*provisional_refusal);
         else
-            this->use_own_part(id, now);
+            this->decide_locally(id, now);
     }
-    if (!again.empty() && this->current < this->candidates.size())
-        this->say(this->candidates[this->current], std::move(again), now);
+    if (!resent.empty() && this->current_index < this->contacts.size())
+        this->send_query(
+            this->contacts[this->current_index], std::move(resent), now);
 }
 
-void quota_client::say_alive(instant now)
+void quota_client::send_keepalives(instant now)
 {
-    const duration pause =
-        contact_life(this->settings.bounds) / words_per_contact;
+    const duration keepalive_interval =
+        contact_life(this->settings.bounds) / messages_per_timeout;
     // Preferred accountants that were silent may answer again.
-    for (std::size_t i = 0; i < this->candidates.size(); ++i)
+    for (std::size_t i = 0; i < this->contacts.size(); ++i)
     {
-        candidate& one = this->candidates[i];
-        const duration rest = one.is_silent ? probe_pause : pause;
-        if (now - one.told >= rest)
-            this->say(one, {}, now);
-        this->due_by(one.told + rest);
-        if (i == this->current)
+        accountant_contact& contact = this->contacts[i];
+        const duration interval =
+            contact.is_unresponsive ? probe_interval : keepalive_interval;
+        if (now - contact.last_message_at >= interval)
+            this->send_query(contact, {}, now);
+        this->schedule_by(contact.last_message_at + interval);
+        if (i == this->current_index)
             break;
     }
 }
 
-void quota_client::due_by(instant when)
+void quota_client::schedule_by(instant when)
 {
-    this->due = std::min(this->due, when);
+    this->next_due = std::min(this->next_due, when);
 }
 
 std::vector<quota_message> quota_client::take_messages()
--- a/src/core/quota/quota_client.hpp
+++ b/src/core/quota/quota_client.hpp
@@ -96,7 +96,7 @@
     /// @return When `tick` has work next.
     instant next_tick() const
     {
-        return this->due;
+        return this->next_due;
     }
 
     std::vector<quota_message> take_messages();
@@ -106,72 +106,75 @@
     std::string_view accountant() const;
 
 private:
-    struct pending
+    struct pending_draw
     {
         quota_draw draw;
-        instant asked;
-        instant sent;
+        instant created_at;
+        instant last_sent_at;
         std::optional<quota_result>
-            refused; ///< from an accountant that lacks data yet
+            provisional_refusal; ///< from an accountant that lacks data yet
     };
 
-    struct candidate
+    struct accountant_contact
     {
         std::string name;
-        bool is_silent = false;
-        instant since; ///< start of the uninterrupted contact
-        instant counts_from =
-            instant::max();              ///< it counts this router from then on
-        std::optional<instant> answered; ///< time of its last answer
-        std::optional<instant> asked; ///< time of the first unanswered message
-        instant told;                 ///< time of the last message to it
+        bool is_unresponsive = false;
+        instant contact_since; ///< start of the uninterrupted contact
+        instant counted_from =
+            instant::max(); ///< it counts this router from then on
+        std::optional<instant> last_answer_at; ///< time of its last answer
+        std::optional<instant>
+            unanswered_since;    ///< time of the first unanswered message
+        instant last_message_at; ///< time of the last message to it
     };
 
-    using decide = void (quota_client::*)(std::uint64_t id, instant now);
+    using decision_method =
+        void (quota_client::*)(std::uint64_t id, instant now);
 
     /// @return The rate that a backend server announced; 0 for other accounts.
-    double named_limit(std::string_view account) const;
+    double announced_limit(std::string_view account) const;
     void ask_accountant(std::uint64_t id, instant now);
-    void use_own_part(std::uint64_t id, instant now);
+    void decide_locally(std::uint64_t id, instant now);
     /// @return This router's fraction of each limit; 0 until the number of
     ///         routers is known.
-    double own_part() const;
+    double own_fraction() const;
     /// @return Rate and burst that this router may use locally now.
-    usage_limit own_terms(const counted_limit& limit, instant now) const;
-    void fill_own(instant now);
+    usage_limit local_limit(const counted_limit& limit, instant now) const;
+    void refill_local_buckets(instant now);
     /// @return Whether no accountant is in contact with this router.
-    bool is_alone(instant now) const;
+    bool has_no_accountant(instant now) const;
     /// @return Whether an accountant has been in contact with this router, and
     ///         so with the others, long enough to know its share of the limits.
-    bool is_settled(const candidate& one, instant now) const;
-    void choose(instant now);
+    bool is_ready(const accountant_contact& contact, instant now) const;
+    void choose_accountant(instant now);
     /// Starts a contact: sets when the accountant begins to count this router.
-    void let_count(candidate& one, instant now);
-    void say(candidate& to, std::vector<quota_draw> draws, instant now);
-    void settle(const quota_result& result);
-    void find_silent(instant now);
-    void repeat_draws(instant now);
-    void say_alive(instant now);
-    void due_by(instant when);
+    void start_contact(accountant_contact& contact, instant now);
+    void send_query(
+        accountant_contact& to, std::vector<quota_draw> draws, instant now);
+    void resolve(const quota_result& result);
+    void detect_unresponsive(instant now);
+    void resend_draws(instant now);
+    void send_keepalives(instant now);
+    void schedule_by(instant when);
 
     options settings;
-    decide way;
+    decision_method method;
     counted_limits limits;
-    std::unordered_map<std::string, token_bucket> own; ///< by account
-    std::vector<candidate> candidates;
-    std::size_t current =
-        0; ///< index in `candidates`; its size when none answers
-    std::size_t known_routers = 0; ///< 0: not known yet
-    std::map<std::uint64_t, pending> waiting;
+    std::unordered_map<std::string, token_bucket> local_buckets; ///< by account
+    std::vector<accountant_contact> contacts;
+    std::size_t current_index =
+        0; ///< index in `contacts`; its size when none answers
+    std::size_t router_count = 0; ///< 0: not known yet
+    std::map<std::uint64_t, pending_draw> waiting;
     std::vector<quota_return> returns;
     std::vector<quota_message> messages;
     std::vector<quota_decision> decisions;
     std::uint64_t last_id;
     std::optional<instant>
-        overlapped; ///< when two accountants last counted this router
-    instant own_filled;
-    instant ticked;
-    instant due;
+        last_overlap; ///< when two accountants last counted this router
+    instant last_local_refill;
+    instant last_tick;
+    instant next_due;
 };
 
 } // namespace roseworks
--- a/src/core/quota/token_bucket.cpp
+++ b/src/core/quota/token_bucket.cpp
@@ -9,44 +9,46 @@
 {
 
 /// Stands for a bucket that never fills, or not before any request times out.
-constexpr duration longest_wait = std::chrono::hours(1);
+constexpr duration max_reported_wait = std::chrono::hours(1);
 
 } // namespace
 
-void token_bucket::fill(duration elapsed, const usage_limit& terms)
+void token_bucket::refill(duration elapsed, const usage_limit& limit)
 {
     const double seconds = std::chrono::duration<double>(elapsed).count();
-    this->held = std::min(this->held + terms.per_second * seconds, terms.burst);
+    this->tokens =
+        std::min(this->tokens + limit.per_second * seconds, limit.burst);
 }
 
-duration token_bucket::until(double amount, const usage_limit& terms) const
+duration token_bucket::time_until(double amount, const usage_limit& limit) const
 {
     // No limit is assigned: not even a request above the capacity may pass.
-    if (terms.per_second <= 0 && terms.burst <= 0)
-        return longest_wait;
-    const double missing = std::min(amount, terms.burst) - this->held;
+    if (limit.per_second <= 0 && limit.burst <= 0)
+        return max_reported_wait;
+    const double missing = std::min(amount, limit.burst) - this->tokens;
     if (missing <= 0)
         return duration::zero();
-    const double longest = std::chrono::duration<double>(longest_wait).count();
-    if (missing >= terms.per_second * longest)
-        return longest_wait;
+    const double max_wait =
+        std::chrono::duration<double>(max_reported_wait).count();
+    if (missing >= limit.per_second * max_wait)
+        return max_reported_wait;
     return std::chrono::ceil<duration>(
-        std::chrono::duration<double>(missing / terms.per_second));
+        std::chrono::duration<double>(missing / limit.per_second));
 }
 
 std::optional<duration>
-token_bucket::take(double amount, duration longest, const usage_limit& terms)
+token_bucket::take(double amount, duration max_wait, const usage_limit& limit)
 {
-    const duration wait = this->until(amount, terms);
-    if (wait > longest)
+    const duration wait = this->time_until(amount, limit);
+    if (wait > max_wait)
         return std::nullopt;
-    this->held -= amount;
+    this->tokens -= amount;
     return wait;
 }
 
-void token_bucket::put_back(double amount, const usage_limit& terms)
+void token_bucket::return_tokens(double amount, const usage_limit& limit)
 {
-    this->held = std::min(this->held + amount, terms.burst);
+    this->tokens = std::min(this->tokens + amount, limit.burst);
 }
 
 } // namespace roseworks
--- a/src/core/quota/token_bucket.hpp
+++ b/src/core/quota/token_bucket.hpp
@@ -18,33 +18,33 @@
 class token_bucket
 {
 public:
-    /// @param terms Rate and capacity; may differ between calls.
-    void fill(duration elapsed, const usage_limit& terms);
+    /// @param limit Rate and capacity; may differ between calls.
+    void refill(duration elapsed, const usage_limit& limit);
 
     /** Takes tokens.
 
-        @param amount  May exceed the capacity: then a full bucket suffices, and
-                       the level becomes negative.
-        @param longest Longest time that the request can wait.
-        @return        How long the request has to wait. Empty when that is
-                       longer than it can wait; then no tokens are taken.
+        @param amount   May exceed the capacity: then a full bucket suffices,
+                        and the level becomes negative.
+        @param max_wait Longest time that the request can wait.
+        @return         How long the request has to wait. Empty when that is
+                        longer than it can wait; then no tokens are taken.
     */
     std::optional<duration>
-    take(double amount, duration longest, const usage_limit& terms);
+    take(double amount, duration max_wait, const usage_limit& limit);
 
     /// @return Time until the bucket holds the amount, or is full.
-    duration until(double amount, const usage_limit& terms) const;
+    duration time_until(double amount, const usage_limit& limit) const;
 
     /// Returns tokens that were taken and not used.
-    void put_back(double amount, const usage_limit& terms);
+    void return_tokens(double amount, const usage_limit& limit);
 
     double level() const
     {
-        return this->held;
+        return this->tokens;
     }
 
 private:
-    double held = 0;
+    double tokens = 0;
 };
 
 } // namespace roseworks
--- a/src/core/serving/deployment.cpp
+++ b/src/core/serving/deployment.cpp
@@ -5,27 +5,31 @@
 namespace roseworks
 {
 
-duration path_route::patience() const
+duration path_route::first_event_timeout() const
 {
     /// As the platform defines it: the longest of two seconds, four times the
     /// objective and eight times the longest gap between events.
-    constexpr duration least = std::chrono::seconds(2);
-    constexpr int objectives = 4;
-    constexpr int gaps = 8;
+    constexpr duration min_timeout = std::chrono::seconds(2);
+    constexpr int objective_factor = 4;
+    constexpr int gap_factor = 8;
     if (this->kind != repetition::streaming)
         return this->timeout;
-    const duration longest = std::max(
-        {least, this->objective * objectives, this->longest_gap * gaps});
-    return std::min(this->timeout, longest);
+    const duration abandon_time = std::max(
+        {min_timeout,
+         this->objective * objective_factor,
+         this->longest_gap * gap_factor});
+    return std::min(this->timeout, abandon_time);
 }
 
 duration path_route::longest_wait() const
 {
     /// Network time of the request to this router and of the refusal back.
-    constexpr duration ways = std::chrono::milliseconds(100);
-    const bool bounded = this->kind == repetition::streaming &&
-                         !this->resumable && this->patience() > ways;
-    return bounded ? this->patience() - ways : this->timeout;
+    constexpr duration round_trip = std::chrono::milliseconds(100);
+    const bool is_bounded = this->kind == repetition::streaming &&
+                            !this->resumable &&
+                            this->first_event_timeout() > round_trip;
+    return is_bounded ? this->first_event_timeout() - round_trip
+                      : this->timeout;
 }
 
 const service_profile* deployment::find_service(std::string_view name) const
--- a/src/core/serving/deployment.hpp
+++ b/src/core/serving/deployment.hpp
@@ -53,7 +53,7 @@
         request that waits longer is useless to its caller, who could have got a
         refusal with a retry time instead.
     */
-    duration patience() const;
+    duration first_event_timeout() const;
 
     /// @return The longest time that a request may wait before it is sent. It
     /// is
--- a/src/core/serving/organisation_changes.cpp
+++ b/src/core/serving/organisation_changes.cpp
@@ -15,7 +15,7 @@
 {
 
 /// Fingerprints per log line.
-constexpr std::size_t most_named = 8;
+constexpr std::size_t max_named = 8;
 
 using key_set = std::unordered_set<key_digest, key_digest_hash>;
 using limit_map = std::map<std::string_view, std::optional<usage_limit>>;
@@ -25,8 +25,8 @@
     key_set keys;
     if (configuration == nullptr || !configuration->organisations)
         return keys;
-    for (const organisation& one : *configuration->organisations)
-        keys.insert(one.keys.begin(), one.keys.end());
+    for (const organisation& entry : *configuration->organisations)
+        keys.insert(entry.keys.begin(), entry.keys.end());
     return keys;
 }
 
@@ -35,8 +35,8 @@
     limit_map limits;
     if (configuration == nullptr || !configuration->organisations)
         return limits;
-    for (const organisation& one : *configuration->organisations)
-        limits.emplace(one.name, one.limit);
+    for (const organisation& entry : *configuration->organisations)
+        limits.emplace(entry.name, entry.limit);
     return limits;
 }
 
@@ -45,7 +45,7 @@
 organisation_changes
 compare_organisations(const deployment* before, const deployment& now)
 {
-    organisation_changes made;
+    organisation_changes changes;
     const key_set old_keys = keys_of(before);
     const key_set new_keys = keys_of(&now);
     const auto kept = std::ranges::count_if(
@@ -54,24 +54,24 @@
         {
             return old_keys.contains(key);
         });
-    made.keys_added = new_keys.size() - static_cast<std::size_t>(kept);
+    changes.keys_added = new_keys.size() - static_cast<std::size_t>(kept);
     for (const key_digest& key : old_keys)
     {
         if (new_keys.contains(key))
             continue;
-        if (made.keys_dropped < most_named)
-            made.dropped +=
-                (made.dropped.empty() ? "" : " ") + fingerprint_of(key);
-        ++made.keys_dropped;
+        if (changes.keys_dropped < max_named)
+            changes.dropped +=
+                (changes.dropped.empty() ? "" : " ") + fingerprint_of(key);
+        ++changes.keys_dropped;
     }
     const limit_map old_limits = limits_of(before);
     for (const auto& [name, limit] : limits_of(&now))
     {
         const auto old = old_limits.find(name);
-        const bool same = old != old_limits.end() && old->second == limit;
-        made.limits_changed += same ? 0 : 1;
+        const bool is_same = old != old_limits.end() && old->second == limit;
+        changes.limits_changed += is_same ? 0 : 1;
     }
-    return made;
+    return changes;
 }
 
 } // namespace roseworks
--- a/src/core/serving/organisation_index.cpp
+++ b/src/core/serving/organisation_index.cpp
@@ -5,26 +5,27 @@
 namespace roseworks
 {
 
-organisation_index::organisation_index(std::shared_ptr<const deployment> whole)
-    : config(std::move(whole))
+organisation_index::organisation_index(
+    std::shared_ptr<const deployment> configuration)
+    : config(std::move(configuration))
 {
     if (!this->config->organisations)
         return;
     std::size_t count = 0;
-    for (const organisation& one : *this->config->organisations)
-        count += one.keys.size();
-    this->holders.reserve(count);
-    for (const organisation& one : *this->config->organisations)
+    for (const organisation& entry : *this->config->organisations)
+        count += entry.keys.size();
+    this->owners.reserve(count);
+    for (const organisation& entry : *this->config->organisations)
     {
-        for (const key_digest& key : one.keys)
-            this->holders.emplace(key, &one);
+        for (const key_digest& key : entry.keys)
+            this->owners.emplace(key, &entry);
     }
 }
 
 const organisation* organisation_index::find(const key_digest& key) const
 {
-    const auto found = this->holders.find(key);
-    return found == this->holders.end() ? nullptr : found->second;
+    const auto found = this->owners.find(key);
+    return found == this->owners.end() ? nullptr : found->second;
 }
 
 } // namespace roseworks
--- a/src/core/serving/organisation_index.hpp
+++ b/src/core/serving/organisation_index.hpp
@@ -15,7 +15,8 @@
 class organisation_index
 {
 public:
-    explicit organisation_index(std::shared_ptr<const deployment> whole);
+    explicit organisation_index(
+        std::shared_ptr<const deployment> configuration);
 
     /// @return Whether callers need an API key.
     bool is_required() const
@@ -29,13 +30,12 @@
 
     std::size_t keys() const
     {
-        return this->holders.size();
+        return this->owners.size();
     }
 
 private:
     std::shared_ptr<const deployment> config;
-    std::unordered_map<key_digest, const organisation*, key_digest_hash>
-        holders;
+    std::unordered_map<key_digest, const organisation*, key_digest_hash> owners;
 };
 
 } // namespace roseworks
--- a/src/core/serving/route_index.cpp
+++ b/src/core/serving/route_index.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-std::string lower_host(std::string_view host)
+std::string normalise_host(std::string_view host)
 {
     const auto colon = host.rfind(':');
     if (colon != std::string_view::npos && host.back() != ']')
@@ -24,19 +24,19 @@
 
 } // namespace
 
-route_index::route_index(std::shared_ptr<const deployment> whole)
-    : config(std::move(whole))
+route_index::route_index(std::shared_ptr<const deployment> configuration)
+    : config(std::move(configuration))
 {
     for (const path_route& route : this->config->routes)
-        this->hosts[lower_host(route.host)].push_back(&route);
+        this->hosts[normalise_host(route.host)].push_back(&route);
     for (auto& [host, routes] : this->hosts)
     {
         std::ranges::stable_sort(
             routes,
             std::ranges::greater(),
-            [](const path_route* one)
+            [](const path_route* route)
             {
-                return one->path_prefix.size();
+                return route->path_prefix.size();
             });
     }
 }
@@ -44,15 +44,15 @@
 const path_route*
 route_index::find(std::string_view host, std::string_view path) const
 {
-    const auto found = this->hosts.find(lower_host(host));
+    const auto found = this->hosts.find(normalise_host(host));
     if (found == this->hosts.end())
         return nullptr;
-    const std::string_view plain = path.substr(0, path.find('?'));
+    const std::string_view path_only = path.substr(0, path.find('?'));
     const auto match = std::ranges::find_if(
         found->second,
-        [plain](const path_route* one)
+        [path_only](const path_route* route)
         {
-            return plain.starts_with(one->path_prefix);
+            return path_only.starts_with(route->path_prefix);
         });
     return match == found->second.end() ? nullptr : *match;
 }
@@ -64,12 +64,12 @@
         total += share.weight;
     if (total == 0)
         return {};
-    std::uint64_t place = draw % total;
+    std::uint64_t offset = draw % total;
     for (const service_share& share : route.services)
     {
-        if (place < share.weight)
+        if (offset < share.weight)
             return share.service;
-        place -= share.weight;
+        offset -= share.weight;
     }
     return {};
 }
--- a/src/core/serving/route_index.hpp
+++ b/src/core/serving/route_index.hpp
@@ -17,7 +17,7 @@
 class route_index
 {
 public:
-    explicit route_index(std::shared_ptr<const deployment> whole);
+    explicit route_index(std::shared_ptr<const deployment> configuration);
 
     /// @param host As the caller sent it. A port is ignored; the comparison is
     ///             case-insensitive.
--- a/src/core/serving/serving_table.cpp
+++ b/src/core/serving/serving_table.cpp
@@ -8,10 +8,10 @@
 namespace roseworks
 {
 
-serving_table::serving_table(parts whole)
-    : content(std::move(whole))
+serving_table::serving_table(parts initial)
+    : content(std::move(initial))
 {
-    this->everyone.highest = priority::urgent;
+    this->default_caller.highest = priority::urgent;
 }
 
 const servable_routes* serving_table::find_servable(std::string_view name) const
@@ -46,7 +46,7 @@
 
 const caller_spec* serving_table::find_caller(std::string_view) const
 {
-    return &this->everyone;
+    return &this->default_caller;
 }
 
 bool serving_table::is_blocked(fingerprint request) const
@@ -61,7 +61,7 @@
 
 bool serving_table::log_available() const
 {
-    return this->content.orders_possible;
+    return this->content.placement_available;
 }
 
 std::optional<instant>
--- a/src/core/serving/serving_table.hpp
+++ b/src/core/serving/serving_table.hpp
@@ -58,7 +58,7 @@
         std::unordered_set<fingerprint> suspect;
         /// Expected load times of models that no engine has, by model key.
         std::unordered_map<std::string, instant> expected;
-        bool orders_possible = false; ///< a placement owner is active
+        bool placement_available = false; ///< a placement owner is active
     };
 
     explicit serving_table(parts content);
@@ -92,7 +92,7 @@
 
 private:
     parts content;
-    caller_spec everyone;
+    caller_spec default_caller;
 };
 
 using serving_table_ptr = std::shared_ptr<const serving_table>;
--- a/src/core/serving/serving_view.cpp
+++ b/src/core/serving/serving_view.cpp
@@ -22,7 +22,7 @@
 /// transit.
 constexpr std::uint16_t plain_queue_allowance = 2;
 
-std::uint16_t clamped(std::size_t value)
+std::uint16_t clamp_to_uint16(std::size_t value)
 {
     constexpr std::size_t most = std::numeric_limits<std::uint16_t>::max();
     return static_cast<std::uint16_t>(std::min(value, most));
@@ -45,34 +45,35 @@
 
 bool serving_view::deployment_read(std::shared_ptr<const deployment> next)
 {
-    if (this->current && next->version <= this->current->version)
+    if (this->configuration && next->version <= this->configuration->version)
         return false;
-    this->current = std::move(next);
-    this->make_catalogue();
+    this->configuration = std::move(next);
+    this->build_catalogue();
     return true;
 }
 
-void serving_view::make_catalogue()
+void serving_view::build_catalogue()
 {
     auto made = std::make_shared<servable_catalogue>();
-    made->routes = std::make_shared<route_index>(this->current);
-    made->organisations = std::make_shared<organisation_index>(this->current);
+    made->routes = std::make_shared<route_index>(this->configuration);
+    made->organisations =
+        std::make_shared<organisation_index>(this->configuration);
     const auto add = [&](std::string key, bool is_adapter, std::size_t slots)
     {
-        servable_id& id = this->servable_numbers[key];
+        servable_id& id = this->servable_ids[key];
         if (!id)
             id = servable_id(
-                static_cast<std::uint32_t>(this->servable_numbers.size()));
+                static_cast<std::uint32_t>(this->servable_ids.size()));
         servable_routes cold;
         cold.id = id;
         cold.load_estimate_ms = first_cold_estimate_ms;
-        cold.max_streams = clamped(slots);
+        cold.max_streams = clamp_to_uint16(slots);
         cold.max_replicas = 1;
         cold.is_adapter = is_adapter;
         cold.name = key;
         made->servables.emplace(std::move(key), std::move(cold));
     };
-    for (const service_profile& service : this->current->services)
+    for (const service_profile& service : this->configuration->services)
     {
         if (!service.engine)
             continue;
@@ -96,67 +97,68 @@
 
 bool serving_view::entry_read(server_entry entry)
 {
-    const auto found = this->known.find(entry.id);
-    if (found == this->known.end())
+    const auto found = this->servers_by_id.find(entry.id);
+    if (found == this->servers_by_id.end())
     {
         server added;
-        engine_id& number = this->numbers[entry.id];
+        engine_id& number = this->engine_ids[entry.id];
         if (!number)
             number =
-                engine_id(static_cast<std::uint32_t>(this->numbers.size()));
+                engine_id(static_cast<std::uint32_t>(this->engine_ids.size()));
         added.engine = number;
         added.run = replica_id(++this->last_run);
         added.entry = std::move(entry);
         const std::string id = added.entry.id;
-        this->settle(this->known.emplace(id, std::move(added)).first->second);
+        this->add_to_address(
+            this->servers_by_id.emplace(id, std::move(added)).first->second);
         return true;
     }
-    server& one = found->second;
-    if (entry.heard < one.entry.heard)
+    server& record = found->second;
+    if (entry.heard < record.entry.heard)
         return false; // outdated entry from a slow listing
-    const bool revived = one.lapses.has_value();
-    one.lapses.reset();
-    one.entry.heard = entry.heard;
-    if (!entry.holdings.copies_known && one.entry.born_ms == entry.born_ms)
-        keep_copies(entry.holdings, one.entry.holdings);
-    const bool was_superseded = one.superseded;
+    const bool was_expiring = record.expires_at.has_value();
+    record.expires_at.reset();
+    record.entry.heard = entry.heard;
+    if (!entry.holdings.copies_known && record.entry.born_ms == entry.born_ms)
+        keep_copies(entry.holdings, record.entry.holdings);
+    const bool was_superseded = record.superseded;
     if (was_superseded)
-        this->find_superseded(one.entry.address);
-    if (one.entry == entry)
-        return revived || one.superseded != was_superseded;
-    const bool restarted = one.entry.born_ms != entry.born_ms;
-    if (restarted && entry.born_ms < one.entry.born_ms)
-        return revived; // late entry of an earlier run
+        this->update_superseded(record.entry.address);
+    if (record.entry == entry)
+        return was_expiring || record.superseded != was_superseded;
+    const bool restarted = record.entry.born_ms != entry.born_ms;
+    if (restarted && entry.born_ms < record.entry.born_ms)
+        return was_expiring; // late entry of an earlier run
     if (restarted)
     {
-        one.run = replica_id(++this->last_run);
-        one.owned.reset();
+        record.run = replica_id(++this->last_run);
+        record.owner_report.reset();
     }
-    const std::string before = one.entry.address;
-    if (one.entry.holdings.resident != entry.holdings.resident)
-        one.refused.clear();
-    one.entry = std::move(entry);
-    if (before != one.entry.address)
+    const std::string before = record.entry.address;
+    if (record.entry.holdings.resident != entry.holdings.resident)
+        record.refusals.clear();
+    record.entry = std::move(entry);
+    if (before != record.entry.address)
     {
-        this->settle_without(one.entry.id, before);
-        this->settle(one);
+        this->remove_from_address(record.entry.id, before);
+        this->add_to_address(record);
     }
     return true;
 }
 
 bool serving_view::entry_removed(std::string_view id, instant now)
 {
-    const auto found = this->known.find(id);
-    if (found == this->known.end())
+    const auto found = this->servers_by_id.find(id);
+    if (found == this->servers_by_id.end())
         return false;
-    if (now < this->revival_until)
+    if (now < this->reregistration_deadline)
     {
-        found->second.lapses = this->revival_until;
+        found->second.expires_at = this->reregistration_deadline;
         return false;
     }
     const std::string address = found->second.entry.address;
-    this->known.erase(found);
-    this->settle_without(id, address);
+    this->servers_by_id.erase(found);
+    this->remove_from_address(id, address);
     return true;
 }
 
@@ -166,7 +168,7 @@
     for (const server_entry& entry : all)
         listed.insert(entry.id);
     std::vector<std::string> missing;
-    for (const auto& [id, one] : this->known)
+    for (const auto& [id, record] : this->servers_by_id)
     {
         if (!listed.contains(id))
             missing.push_back(id);
@@ -181,30 +183,30 @@
 
 void serving_view::registry_back(instant now)
 {
-    this->revival_until = now + this->settings.revival;
+    this->reregistration_deadline = now + this->settings.reregistration_period;
 }
 
-bool serving_view::residency_heard(engine_residency told, instant now)
+bool serving_view::residency_heard(engine_residency report, instant now)
 {
-    const auto found = this->known.find(told.engine);
-    if (found == this->known.end() ||
-        found->second.entry.born_ms != told.born_ms)
+    const auto found = this->servers_by_id.find(report.engine);
+    if (found == this->servers_by_id.end() ||
+        found->second.entry.born_ms != report.born_ms)
         return false;
-    server& one = found->second;
-    if (one.owned && one.owned->tenure == told.tenure &&
-        one.owned->revision == told.revision)
+    server& record = found->second;
+    if (record.owner_report && record.owner_report->tenure == report.tenure &&
+        record.owner_report->revision == report.revision)
     {
-        one.owned_at = now;
+        record.owner_report_seen = now;
         return false;
     }
-    if (one.owned && !told.newer_than(*one.owned))
+    if (record.owner_report && !report.newer_than(*record.owner_report))
         return false;
-    const bool changed =
-        !one.refused.empty() || this->resident(one, now) != told.resident;
-    one.refused.clear();
-    one.owned = std::move(told);
-    one.owned_at = now;
-    one.owned_since = now;
+    const bool changed = !record.refusals.empty() ||
+                         this->resident(record, now) != report.resident;
+    record.refusals.clear();
+    record.owner_report = std::move(report);
+    record.owner_report_seen = now;
+    record.owner_report_first_seen = now;
     return changed;
 }
 
@@ -212,229 +214,235 @@
     const std::string& model, instant ready, instant now)
 {
     const auto [place, added] =
-        this->outlooks.try_emplace(model, outlook{ready, now});
-    outlook& one = place->second;
-    one.heard = now;
+        this->expected_loads.try_emplace(model, expected_load{ready, now});
+    expected_load& record = place->second;
+    record.received_at = now;
     const duration shift =
-        ready > one.ready ? ready - one.ready : one.ready - ready;
-    if (!added && shift < this->settings.outlook_step)
+        ready > record.ready ? ready - record.ready : record.ready - ready;
+    if (!added && shift < this->settings.expected_load_step)
         return false;
-    one.ready = ready;
+    record.ready = ready;
     return true;
 }
 
 bool serving_view::contradicted(
     std::string_view engine, std::string_view servable, instant now)
 {
-    const auto found = this->known.find(engine);
-    if (found == this->known.end())
+    const auto found = this->servers_by_id.find(engine);
+    if (found == this->servers_by_id.end())
         return false;
-    server& one = found->second;
+    server& record = found->second;
     const bool is_new =
-        one.owned && now - one.owned_since < this->settings.new_word;
-    one.refused[std::string(servable)] =
+        record.owner_report &&
+        now - record.owner_report_first_seen < this->settings.recent_report_age;
+    record.refusals[std::string(servable)] =
         now + (is_new ? this->settings.refusal_lifetime
-                      : this->settings.outdated_refusal_lifetime);
+                      : this->settings.stale_refusal_lifetime);
     return true;
 }
 
 std::optional<instant> serving_view::unreached(std::string_view id, instant now)
 {
-    const auto found = this->known.find(id);
-    if (found == this->known.end() || !this->catalogue)
+    const auto found = this->servers_by_id.find(id);
+    if (found == this->servers_by_id.end() || !this->catalogue)
         return std::nullopt;
-    server& one = found->second;
+    server& record = found->second;
     const bool engine =
-        this->catalogue->engine_services.contains(one.entry.service);
-    if (!engine || one.unreached_until)
+        this->catalogue->engine_services.contains(record.entry.service);
+    if (!engine || record.backoff_until)
         return std::nullopt;
-    if (now - one.last_unreached > this->settings.unreached_memory)
-        one.unreached_for = duration::zero();
-    one.last_unreached = now;
-    one.unreached_for = std::clamp(
-        one.unreached_for * 2,
-        this->settings.first_unreached,
-        this->settings.longest_unreached);
-    one.unreached_until = now + one.unreached_for;
-    return one.unreached_until;
+    if (now - record.last_connect_failure > this->settings.backoff_reset_time)
+        record.last_backoff = duration::zero();
+    record.last_connect_failure = now;
+    record.last_backoff = std::clamp(
+        record.last_backoff * 2,
+        this->settings.min_backoff,
+        this->settings.max_backoff);
+    record.backoff_until = now + record.last_backoff;
+    return record.backoff_until;
 }
 
 bool serving_view::tick(instant now)
 {
-    std::vector<std::string> lapsed;
-    for (const auto& [id, one] : this->known)
+    std::vector<std::string> expired;
+    for (const auto& [id, record] : this->servers_by_id)
     {
-        if (one.lapses && *one.lapses <= now)
-            lapsed.push_back(id);
+        if (record.expires_at && *record.expires_at <= now)
+            expired.push_back(id);
     }
-    for (const std::string& id : lapsed)
+    for (const std::string& id : expired)
     {
-        const auto found = this->known.find(id);
+        const auto found = this->servers_by_id.find(id);
         const std::string address = found->second.entry.address;
-        this->known.erase(found);
-        this->settle_without(id, address);
+        this->servers_by_id.erase(found);
+        this->remove_from_address(id, address);
     }
-    bool changed = !lapsed.empty();
+    bool changed = !expired.empty();
     changed = std::erase_if(
-                  this->outlooks,
+                  this->expected_loads,
                   [&](const auto& entry)
                   {
-                      return now - entry.second.heard >=
-                             this->settings.outlook_lifetime;
+                      return now - entry.second.received_at >=
+                             this->settings.expected_load_lifetime;
                   }) != 0 ||
               changed;
-    for (auto& [id, one] : this->known)
+    for (auto& [id, record] : this->servers_by_id)
     {
-        if (one.unreached_until && *one.unreached_until <= now)
+        if (record.backoff_until && *record.backoff_until <= now)
         {
-            one.unreached_until.reset();
+            record.backoff_until.reset();
             changed = true;
         }
         changed = std::erase_if(
-                      one.refused,
+                      record.refusals,
                       [now](const auto& entry)
                       {
                           return entry.second <= now;
                       }) != 0 ||
                   changed;
-        if (!one.owned ||
-            now - one.owned_at < this->settings.residency_lifetime)
+        if (!record.owner_report ||
+            now - record.owner_report_seen < this->settings.residency_lifetime)
             continue;
-        one.owned.reset();
+        record.owner_report.reset();
         changed = true;
     }
     return changed;
 }
 
 const std::vector<resident_model>&
-serving_view::resident(const server& one, instant now) const
+serving_view::resident(const server& record, instant now) const
 {
     const bool fresh =
-        one.owned && now - one.owned_at < this->settings.residency_lifetime;
-    return fresh ? one.owned->resident : one.entry.holdings.resident;
+        record.owner_report &&
+        now - record.owner_report_seen < this->settings.residency_lifetime;
+    return fresh ? record.owner_report->resident
+                 : record.entry.holdings.resident;
 }
 
-void serving_view::settle(const server& arrived)
+void serving_view::add_to_address(const server& record)
 {
-    const std::string address = arrived.entry.address;
-    this->at[address].insert(arrived.entry.id);
-    this->find_superseded(address);
+    const std::string address = record.entry.address;
+    this->ids_by_address[address].insert(record.entry.id);
+    this->update_superseded(address);
 }
 
-void serving_view::settle_without(
+void serving_view::remove_from_address(
     std::string_view id, const std::string& address)
 {
-    const auto found = this->at.find(address);
-    if (found == this->at.end())
+    const auto found = this->ids_by_address.find(address);
+    if (found == this->ids_by_address.end())
         return;
-    const auto gone = found->second.find(id);
-    if (gone != found->second.end())
-        found->second.erase(gone);
+    const auto position = found->second.find(id);
+    if (position != found->second.end())
+        found->second.erase(position);
     if (found->second.empty())
-        this->at.erase(found);
+        this->ids_by_address.erase(found);
     else
-        this->find_superseded(address);
+        this->update_superseded(address);
 }
 
-void serving_view::find_superseded(const std::string& address)
+void serving_view::update_superseded(const std::string& address)
 {
-    const auto found = this->at.find(address);
-    if (found == this->at.end())
+    const auto found = this->ids_by_address.find(address);
+    if (found == this->ids_by_address.end())
         return;
     std::uint64_t latest = 0;
     for (const std::string& id : found->second)
-        latest = std::max(latest, this->known.find(id)->second.entry.heard);
+        latest =
+            std::max(latest, this->servers_by_id.find(id)->second.entry.heard);
     for (const std::string& id : found->second)
     {
-        server& one = this->known.find(id)->second;
-        one.superseded = one.entry.heard < latest;
+        server& record = this->servers_by_id.find(id)->second;
+        record.superseded = record.entry.heard < latest;
     }
 }
 
 serving_table_ptr serving_view::make_table(
-    bool orders_possible,
+    bool placement_available,
     const std::unordered_set<fingerprint>& blocked,
     instant now) const
 {
-    if (!this->current)
+    if (!this->configuration)
         return nullptr;
     serving_table::parts made;
     made.catalogue = this->catalogue;
-    made.orders_possible = orders_possible;
+    made.placement_available = placement_available;
     made.blocked = blocked;
-    for (const auto& [model, expected] : this->outlooks)
+    for (const auto& [model, expected] : this->expected_loads)
         made.expected.emplace(model, expected.ready);
-    for (const service_profile& service : this->current->services)
+    for (const service_profile& service : this->configuration->services)
     {
         service_routes& entry = made.services[service.name];
         entry.name = service.name;
     }
-    for (const auto& [id, one] : this->known)
+    for (const auto& [id, record] : this->servers_by_id)
     {
-        if (one.superseded)
+        if (record.superseded)
             continue;
-        made.servers[one.entry.address] = {
-            id, one.entry.service, one.entry.data_centre};
-        if (one.entry.leaving)
+        made.servers[record.entry.address] = {
+            id, record.entry.service, record.entry.data_centre};
+        if (record.entry.leaving)
             continue;
-        if (this->is_engine(one))
+        if (this->is_engine(record))
         {
-            if (!one.unreached_until)
-                this->add_engine(made, one, now);
+            if (!record.backoff_until)
+                this->add_engine(made, record, now);
         }
         else
-            this->add_plain(made, one);
+            this->add_plain(made, record);
     }
     return std::make_shared<const serving_table>(std::move(made));
 }
 
-bool serving_view::is_engine(const server& one) const
+bool serving_view::is_engine(const server& record) const
 {
     return this->catalogue &&
-           this->catalogue->engine_services.contains(one.entry.service);
+           this->catalogue->engine_services.contains(record.entry.service);
 }
 
 void serving_view::add_engine(
-    serving_table::parts& into, const server& one, instant now) const
+    serving_table::parts& into, const server& record, instant now) const
 {
-    for (const resident_model& model : this->resident(one, now))
+    for (const resident_model& model : this->resident(record, now))
     {
-        this->add_servable(into, one, model.name);
+        this->add_servable(into, record, model.name);
         for (const std::string& adapter : model.adapters)
-            this->add_servable(into, one, model.name + "/" + adapter);
+            this->add_servable(into, record, model.name + "/" + adapter);
     }
 }
 
 void serving_view::add_servable(
     serving_table::parts& into,
-    const server& one,
+    const server& record,
     std::string_view servable) const
 {
-    std::string key = servable_key(one.entry.service, servable);
+    std::string key = servable_key(record.entry.service, servable);
     const auto cold = this->catalogue->servables.find(key);
-    if (cold == this->catalogue->servables.end() || one.refused.contains(key))
+    if (cold == this->catalogue->servables.end() ||
+        record.refusals.contains(key))
         return;
     servable_routes& entry =
         into.resident.try_emplace(std::move(key), cold->second).first->second;
     entry.max_replicas = std::numeric_limits<std::uint16_t>::max();
     entry.ready.push_back(
-        {one.run,
-         one.engine,
-         one.entry.address,
-         one.entry.data_centre,
-         one.entry.id});
+        {record.run,
+         record.engine,
+         record.entry.address,
+         record.entry.data_centre,
+         record.entry.id});
 }
 
 void serving_view::add_plain(
-    serving_table::parts& into, const server& one) const
+    serving_table::parts& into, const server& record) const
 {
-    const auto found = into.services.find(one.entry.service);
+    const auto found = into.services.find(record.entry.service);
     if (found == into.services.end())
         return;
     service_routes& entry = found->second;
-    entry.max_streams = clamped(one.entry.slots + plain_queue_allowance);
+    entry.max_streams =
+        clamp_to_uint16(record.entry.slots + plain_queue_allowance);
     entry.backends.push_back(
-        {one.entry.address, one.entry.id, one.entry.data_centre});
+        {record.entry.address, record.entry.id, record.entry.data_centre});
 }
 
 } // namespace roseworks
--- a/src/core/serving/serving_view.hpp
+++ b/src/core/serving/serving_view.hpp
@@ -36,33 +36,33 @@
     struct options
     {
         /// Time for servers to register again after a registry outage.
-        duration revival = std::chrono::milliseconds(2200);
+        duration reregistration_period = std::chrono::milliseconds(2200);
         /// How long the owner's report on an engine is used. Afterwards the
         /// engine's own entry is newer.
         duration residency_lifetime = std::chrono::seconds(4);
         /// How long an expected load time is used. The owner sends it four
         /// times per second.
-        duration outlook_lifetime = std::chrono::seconds(1);
+        duration expected_load_lifetime = std::chrono::seconds(1);
         /// Smaller shifts of an expected load time are ignored.
-        duration outlook_step = std::chrono::milliseconds(200);
+        duration expected_load_step = std::chrono::milliseconds(200);
         /// How long a refusal is remembered when the owner has just reported
         /// the model: the load is about to finish.
         duration refusal_lifetime = std::chrono::milliseconds(150);
         /// Age up to which an owner's report counts as recent.
-        duration new_word = std::chrono::milliseconds(1000);
+        duration recent_report_age = std::chrono::milliseconds(1000);
         /// How long a refusal is remembered when the older data was wrong
         /// because the model was unloaded. Newer data ends it earlier.
         /// Meanwhile the request waits for the owner instead of using up its
         /// attempts at the same engine.
-        duration outdated_refusal_lifetime = std::chrono::milliseconds(1000);
+        duration stale_refusal_lifetime = std::chrono::milliseconds(1000);
         /// Back-off for an engine to which no connection could be opened. It
         /// doubles with each failure up to the maximum. The registry lists an
         /// engine for some seconds after it is gone, and each attempt costs a
         /// request the connect timeout.
-        duration first_unreached = std::chrono::milliseconds(500);
-        duration longest_unreached = std::chrono::seconds(4);
+        duration min_backoff = std::chrono::milliseconds(500);
+        duration max_backoff = std::chrono::seconds(4);
         /// The back-off starts again after this time without a failure.
-        duration unreached_memory = std::chrono::seconds(8);
+        duration backoff_reset_time = std::chrono::seconds(8);
     };
 
     /// One run of a backend server.
@@ -71,19 +71,19 @@
         server_entry entry;
         engine_id engine; ///< the same for all runs with one id
         replica_id run;   ///< differs for each run
-        std::optional<instant>
-            lapses; ///< removed then unless it registers again
+        /// Time at which it is removed unless it registers again.
+        std::optional<instant> expires_at;
         /// Another server runs at this address now. A crashed server stays in
         /// the registry for seconds, and its successor may register meanwhile.
         bool superseded = false;
-        std::optional<engine_residency> owned;
-        instant owned_at;    ///< when the owner last sent this report
-        instant owned_since; ///< when the owner first sent this report
+        std::optional<engine_residency> owner_report;
+        instant owner_report_seen;       ///< last time it was received
+        instant owner_report_first_seen; ///< first time it was received
         /// Servables that it refused, with the time until which that counts.
-        std::map<std::string, instant, std::less<>> refused;
-        duration unreached_for{};               ///< last back-off; 0: none
-        std::optional<instant> unreached_until; ///< end of the current back-off
-        instant last_unreached;
+        std::map<std::string, instant, std::less<>> refusals;
+        duration last_backoff{};              ///< last back-off; 0: none
+        std::optional<instant> backoff_until; ///< end of the current back-off
+        instant last_connect_failure;
     };
 
     explicit serving_view(options settings);
@@ -104,7 +104,7 @@
 
     /// Processes the placement owner's report on an engine.
     /// @return Whether anything relevant to routing changed.
-    bool residency_heard(engine_residency told, instant now);
+    bool residency_heard(engine_residency report, instant now);
 
     /// Processes the expected load time of a model that no engine has, sent by
     /// the placement owner.
@@ -136,60 +136,62 @@
     /// @return The newest configuration; null before the first.
     const std::shared_ptr<const deployment>& config() const
     {
-        return this->current;
+        return this->configuration;
     }
 
     /// @return The models on the engine, by the most reliable data available.
     const std::vector<resident_model>&
-    resident(const server& one, instant now) const;
+    resident(const server& record, instant now) const;
 
     /// @return Whether the server is a model engine.
-    bool is_engine(const server& one) const;
+    bool is_engine(const server& record) const;
 
     const std::map<std::string, server, std::less<>>& servers() const
     {
-        return this->known;
+        return this->servers_by_id;
     }
 
     /// @return Null before the first configuration.
     serving_table_ptr make_table(
-        bool orders_possible,
+        bool placement_available,
         const std::unordered_set<fingerprint>& blocked,
         instant now) const;
 
 private:
-    void make_catalogue();
+    void build_catalogue();
     /// Adds a server to the index by address, or removes it.
-    void settle(const server& arrived);
-    void settle_without(std::string_view id, const std::string& address);
-    void find_superseded(const std::string& address);
+    void add_to_address(const server& record);
+    void remove_from_address(std::string_view id, const std::string& address);
+    void update_superseded(const std::string& address);
     void add_engine(
-        serving_table::parts& into, const server& one, instant now) const;
+        serving_table::parts& into, const server& record, instant now) const;
     void add_servable(
         serving_table::parts& into,
-        const server& one,
+        const server& record,
         std::string_view servable) const;
-    void add_plain(serving_table::parts& into, const server& one) const;
+    void add_plain(serving_table::parts& into, const server& record) const;
 
     options settings;
-    std::shared_ptr<const deployment> current;
+    std::shared_ptr<const deployment> configuration;
     std::shared_ptr<const servable_catalogue> catalogue;
-    std::map<std::string, server, std::less<>> known; ///< by id
+    std::map<std::string, server, std::less<>> servers_by_id;
     /// Ids of the known servers by address. Of thousands of servers, only one
     /// or two share an address.
-    std::unordered_map<std::string, std::set<std::string, std::less<>>> at;
-    std::unordered_map<std::string, engine_id> numbers;
-    std::unordered_map<std::string, servable_id> servable_numbers;
+    std::unordered_map<std::string, std::set<std::string, std::less<>>>
+        ids_by_address;
+    std::unordered_map<std::string, engine_id> engine_ids;
+    std::unordered_map<std::string, servable_id> servable_ids;
     std::uint64_t last_run = 0;
-    instant revival_until = instant::min();
+    instant reregistration_deadline = instant::min();
 
-    struct outlook
+    struct expected_load
     {
         instant ready;
-        instant heard;
+        instant received_at;
     };
 
-    std::unordered_map<std::string, outlook> outlooks; ///< by model key
+    /// By model key.
+    std::unordered_map<std::string, expected_load> expected_loads;
 };
 
 } // namespace roseworks
--- a/tests/unit/quota/quota_fleet.cpp
+++ b/tests/unit/quota/quota_fleet.cpp
@@ -138,7 +138,7 @@
 
 void quota_fleet::arrive(double amount, duration patience, std::size_t number)
 {
-    this->perfect.fill(this->time - this->filled, this->settings.limit);
+    this->perfect.refill(this->time - this->filled, this->settings.limit);
     this->filled = this->time;
     if (this->perfect.take(amount, duration::zero(), this->settings.limit))
         this->owed += amount;
--- a/tests/unit/server_limits/test_server_limits.cpp
+++ b/tests/unit/server_limits/test_server_limits.cpp
@@ -145,7 +145,7 @@
 Test(server_limits, of_too_many_servers_no_more_are_kept)
 {
     server_limits::options few{"r"};
-    few.most_servers = 2;
+    few.max_servers = 2;
     server_limits known(few);
     for (const char* server : {"a", "b", "c"})
         known.answered(server, 1.0, at(0s), at(0s));
--- a/tests/unit/serving/test_route_index.cpp
+++ b/tests/unit/serving/test_route_index.cpp
@@ -87,15 +87,15 @@
     route.timeout = std::chrono::seconds(13);
     route.objective = std::chrono::milliseconds(2500);
     route.longest_gap = std::chrono::milliseconds(400);
-    cr_assert_eq(route.patience(), std::chrono::seconds(10));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(10));
     route.objective = std::chrono::milliseconds(300);
-    cr_assert_eq(route.patience(), std::chrono::milliseconds(3200));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::milliseconds(3200));
     route.longest_gap = std::chrono::milliseconds(100);
-    cr_assert_eq(route.patience(), std::chrono::seconds(2));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(2));
     route.timeout = std::chrono::seconds(1);
-    cr_assert_eq(route.patience(), std::chrono::seconds(1));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
     route.kind = repetition::idempotent;
-    cr_assert_eq(route.patience(), std::chrono::seconds(1));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
 }
 
 /// A plain request's time limit is its own: nothing is taken off it.
