--- a/bench/server_limits/bench_server_limits.cpp
+++ b/bench/server_limits/bench_server_limits.cpp
@@ -28,13 +28,13 @@
     std::size_t at_last; ///< at so many routers; 0: at all
 };
 
-void measure(quota_way way, const load_case& what, std::size_t routers)
+void measure(quota_mode mode, const load_case& what, std::size_t routers)
 {
     limited_fleet::options chosen;
     chosen.routers = routers;
     chosen.engines = what.engines;
     chosen.per_second = per_second;
-    chosen.way = way;
+    chosen.mode = mode;
     limited_fleet fleet(chosen);
     fleet.send(warm_up, what.per_second, what.at_last);
     fleet.name_limit(true);
@@ -43,7 +43,7 @@
     const double seconds = std::chrono::duration<double>(length).count();
     const std::string name =
         std::string(what.name) +
-        (way == quota_way::accountant ? ".accountant." : ".own_share.") +
+        (mode == quota_mode::accountant ? ".accountant." : ".own_share.") +
         std::to_string(routers);
     const auto words = static_cast<double>(fleet.words() - words_before);
     std::cout << name << ".worst_window=" << fleet.worst_window()
@@ -71,8 +71,8 @@
     {
         for (const std::size_t routers : {7, 65, 300})
         {
-            measure(quota_way::accountant, what, routers);
-            measure(quota_way::own_share, what, routers);
+            measure(quota_mode::accountant, what, routers);
+            measure(quota_mode::local_share, what, routers);
         }
     }
 }
--- a/bench/swapping/bench_swapping.cpp
+++ b/bench/swapping/bench_swapping.cpp
@@ -32,7 +32,7 @@
     engine.slots = 12;
     engine.memory_mb = 200'000;
     engine.host_memory_mb = 130'000;
-    engine.adapter_places = 8;
+    engine.adapter_slots = 8;
     for (std::size_t i = 0; i < models; ++i)
     {
         model_profile model;
--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -122,7 +122,7 @@
     info.asked = rank == urgent_rank ? priority::urgent : priority::normal;
     info.deadline = this->deadline;
     info.deadline = std::min<instant>(
-        info.deadline, this->request.arrived + this->route.longest_wait());
+        info.deadline, this->request.arrived + this->route.max_queue_time());
     info.objective = this->request.arrived + this->route.objective;
     info.repeatable = this->route.repeatable();
     info.held_bytes = this->request.body.size();
--- a/src/adapters/forward/forward_session.cpp
+++ b/src/adapters/forward/forward_session.cpp
@@ -152,7 +152,7 @@
     }
     caller_organisation holder = find_caller(table->organisations(), request);
     const bool is_known = !holder.name.empty() || !holder.keys_required;
-    if (!is_known && !route->keyless)
+    if (!is_known && !route->allow_anonymous)
     {
         const own_answer refused = make_own_answer(
             refusal_reason::unknown_key, verdict::not_run, duration::zero());
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -126,16 +126,16 @@
         if (directory_word word; this->decode(body, word))
             this->listener->directory_word_heard(word);
         return;
-    case word_kind::quota_ask:
-        if (quota_ask word; this->decode(body, word))
+    case word_kind::quota_query:
+        if (quota_query word; this->decode(body, word))
             this->listener->quota_ask_heard(word, this->sender_text());
         return;
-    case word_kind::quota_answer:
-        if (quota_answer word; this->decode(body, word))
+    case word_kind::quota_reply:
+        if (quota_reply word; this->decode(body, word))
             this->listener->quota_answer_heard(word);
         return;
     case word_kind::server_limits:
-        if (server_limit_word word; this->decode(body, word))
+        if (server_limit_update word; this->decode(body, word))
             this->listener->server_limit_word_heard(word);
         return;
     }
@@ -254,9 +254,9 @@
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const server_limit_word& word)
+    std::span<const std::string> addresses, const server_limit_update& word)
 {
-    server_limit_word part = word;
+    server_limit_update part = word;
     for (auto& some : cut(word.limits, limit_bytes, word_room))
     {
         part.limits = std::move(some);
@@ -264,17 +264,17 @@
     }
 }
 
-void gateway_peers::send(std::string_view address, const quota_ask& ask)
+void gateway_peers::send(std::string_view address, const quota_query& ask)
 {
     // A few draws and returns at most: they are sent as they come.
     const std::string to[] = {std::string(address)};
-    this->send_one(to, word_kind::quota_ask, ask);
+    this->send_one(to, word_kind::quota_query, ask);
 }
 
-void gateway_peers::send(std::string_view address, const quota_answer& answer)
+void gateway_peers::send(std::string_view address, const quota_reply& answer)
 {
     const std::string to[] = {std::string(address)};
-    this->send_one(to, word_kind::quota_answer, answer);
+    this->send_one(to, word_kind::quota_reply, answer);
 }
 
 void gateway_peers::send_part()
--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -58,9 +58,9 @@
         const directory_word& word) override;
     void send(
         std::span<const std::string> addresses,
-        const server_limit_word& word) override;
-    void send(std::string_view address, const quota_ask& ask) override;
-    void send(std::string_view address, const quota_answer& answer) override;
+        const server_limit_update& word) override;
+    void send(std::string_view address, const quota_query& ask) override;
+    void send(std::string_view address, const quota_reply& answer) override;
     void stop() override;
 
     std::uint64_t rejected() const
@@ -75,8 +75,8 @@
         owner = 2,
         broken = 3,
         directory = 4,
-        quota_ask = 5,
-        quota_answer = 6,
+        quota_query = 5,
+        quota_reply = 6,
         server_limits = 7
     };
 
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -88,7 +88,7 @@
           *dispatch,
           *this->quotas,
           pace_desk::notices{
-              [this](const server_limit_word& word)
+              [this](const server_limit_update& word)
               {
                   this->peers->send(this->other_addresses(), word);
               },
@@ -319,17 +319,17 @@
 }
 
 void gateway_control::quota_ask_heard(
-    const quota_ask& ask, std::string_view from)
+    const quota_query& ask, std::string_view from)
 {
     this->quotas->ask_heard(ask, from);
 }
 
-void gateway_control::quota_answer_heard(const quota_answer& answer)
+void gateway_control::quota_answer_heard(const quota_reply& answer)
 {
     this->quotas->answer_heard(answer);
 }
 
-void gateway_control::server_limit_word_heard(const server_limit_word& word)
+void gateway_control::server_limit_word_heard(const server_limit_update& word)
 {
     this->pace->word_heard(word);
 }
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -158,9 +158,10 @@
     owner_word_heard(const owner_word& word, std::string_view from) override;
     void break_word_heard(const break_word& word) override;
     void directory_word_heard(const directory_word& word) override;
-    void quota_ask_heard(const quota_ask& ask, std::string_view from) override;
-    void quota_answer_heard(const quota_answer& answer) override;
-    void server_limit_word_heard(const server_limit_word& word) override;
+    void
+    quota_ask_heard(const quota_query& ask, std::string_view from) override;
+    void quota_answer_heard(const quota_reply& answer) override;
+    void server_limit_word_heard(const server_limit_update& word) override;
 
     void run();
     void take_owner_word(const owner_word& word, std::string_view from);
--- a/src/app/gateway/pace_desk.cpp
+++ b/src/app/gateway/pace_desk.cpp
@@ -1,6 +1,6 @@
 #include "app/gateway/pace_desk.hpp"
 
-#include "core/quota/counted_limits.hpp"
+#include "core/quota/global_limits.hpp"
 
 #include <boost/asio/post.hpp>
 
@@ -79,13 +79,13 @@
 {
     if (this->stopped)
         return;
-    this->limits.answered(server, named, sent, this->clock.now());
+    this->limits.handle_answer(server, named, sent, this->clock.now());
     this->flush();
 }
 
-void pace_desk::word_heard(const server_limit_word& word)
+void pace_desk::word_heard(const server_limit_update& word)
 {
-    this->limits.heard(word, this->clock.now());
+    this->limits.handle_update(word, this->clock.now());
     this->flush();
 }
 
@@ -117,7 +117,7 @@
         const auto found = this->view.servers().find(id);
         if (found != this->view.servers().end() &&
             found->second.entry.born_ms != born)
-            this->limits.forget(id);
+            this->limits.remove(id);
     }
 }
 
@@ -152,7 +152,7 @@
     }
     if (!changes.empty())
         this->limits_changed();
-    if (const auto word = this->limits.take_word(this->clock.now()))
+    if (const auto word = this->limits.take_update(this->clock.now()))
         this->tell.on_word(*word);
     this->arm();
 }
--- a/src/app/gateway/pace_desk.hpp
+++ b/src/app/gateway/pace_desk.hpp
@@ -48,7 +48,7 @@
     struct notices
     {
         /// To be sent to all other routers.
-        std::function<void(const server_limit_word&)> on_word;
+        std::function<void(const server_limit_update&)> on_word;
         /// Requests a second that servers take now, by their ids.
         std::function<void(std::map<std::string, double, std::less<>>)>
             on_limits;
@@ -74,7 +74,7 @@
     /// The dispatcher needs a permit; called from any thread.
     void permit_needed(const permit_wanted& what);
 
-    void word_heard(const server_limit_word& word);
+    void word_heard(const server_limit_update& word);
 
     /// Servers came, went, or were started anew.
     void servers_changed();
--- a/src/app/gateway/quota_desk.cpp
+++ b/src/app/gateway/quota_desk.cpp
@@ -58,7 +58,7 @@
     quota_client::options made;
     made.router = settings.router;
     made.bounds = settings.bounds;
-    made.way = settings.way;
+    made.mode = settings.way;
     made.seed = settings.seed;
     return made;
 }
@@ -111,7 +111,7 @@
 
 void quota_desk::limits_changed()
 {
-    counted_limits all = this->of_organisations;
+    global_limits all = this->of_organisations;
     all.insert(this->of_servers.begin(), this->of_servers.end());
     this->is_limited = !all.empty();
     std::erase_if(
@@ -120,8 +120,8 @@
         {
             return !all.contains(one.first);
         });
-    this->accountant.limits_changed(all, this->clock.now());
-    this->client.limits_changed(std::move(all));
+    this->accountant.set_limits(all, this->clock.now());
+    this->client.set_limits(std::move(all));
     this->tick();
 }
 
@@ -130,19 +130,20 @@
     this->addresses.clear();
     for (const router_address& one : all)
         this->addresses[one.name] = one.address;
-    this->accountant.routers_known(all.size());
-    this->client.accountants_known(accountants_among(all), all.size());
+    this->accountant.set_router_count(all.size());
+    this->client.set_accountants(accountants_among(all), all.size());
     this->tick();
 }
 
-void quota_desk::ask_heard(const quota_ask& ask, std::string_view from)
+void quota_desk::ask_heard(const quota_query& ask, std::string_view from)
 {
-    this->peers.send(from, this->accountant.heard(ask, this->clock.now()));
+    this->peers.send(
+        from, this->accountant.handle_query(ask, this->clock.now()));
 }
 
-void quota_desk::answer_heard(const quota_answer& answer)
+void quota_desk::answer_heard(const quota_reply& answer)
 {
-    this->client.heard(answer, this->clock.now());
+    this->client.handle_reply(answer, this->clock.now());
     this->flush();
 }
 
@@ -179,7 +180,7 @@
         this->loop,
         [this, organisation = std::move(organisation), amount]
         {
-            this->client.give_back(organisation, amount, this->clock.now());
+            this->client.return_tokens(organisation, amount, this->clock.now());
         });
 }
 
@@ -201,12 +202,13 @@
     if (message.to == this->settings.router)
     {
         const instant now = this->clock.now();
-        this->client.heard(this->accountant.heard(message.ask, now), now);
+        this->client.handle_reply(
+            this->accountant.handle_query(message.query, now), now);
         return;
     }
     const auto address = this->addresses.find(message.to);
     if (address != this->addresses.end())
-        this->peers.send(address->second, message.ask);
+        this->peers.send(address->second, message.query);
 }
 
 void quota_desk::tell(const quota_decision& made)
--- a/src/app/gateway/quota_desk.hpp
+++ b/src/app/gateway/quota_desk.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/pacing/server_limit.hpp"
-#include "core/quota/counted_limits.hpp"
+#include "core/quota/global_limits.hpp"
 #include "core/quota/quota_accountant.hpp"
 #include "core/quota/quota_client.hpp"
 #include "ports/clock.hpp"
@@ -39,7 +39,7 @@
     {
         std::string router; ///< this one's name
         quota_bounds bounds;
-        quota_way way = quota_way::accountant;
+        quota_mode way = quota_mode::accountant;
         std::uint64_t seed = 1;
     };
 
@@ -59,8 +59,8 @@
     void servers_limited(std::span<const server_limit> all);
 
     void routers_listed(std::span<const router_address> all);
-    void ask_heard(const quota_ask& ask, std::string_view from);
-    void answer_heard(const quota_answer& answer);
+    void ask_heard(const quota_query& ask, std::string_view from);
+    void answer_heard(const quota_reply& answer);
 
     // quota_port
     void draw(quota_request request, handler told) override;
@@ -103,8 +103,8 @@
     std::map<std::string, std::string, std::less<>> addresses; ///< by name
     std::unordered_map<std::uint64_t, handler> waiting;        ///< by draw
     std::map<std::string, tally, std::less<>> told;            ///< by account
-    counted_limits of_organisations;
-    counted_limits of_servers;
+    global_limits of_organisations;
+    global_limits of_servers;
     boost::asio::steady_timer timer;
     std::string asked; ///< accountant that is asked
     instant logged;
--- a/src/app/gateway/serving_desk.cpp
+++ b/src/app/gateway/serving_desk.cpp
@@ -70,7 +70,7 @@
              {"keys_added", changes.keys_added},
              {"keys_dropped", changes.keys_dropped},
              {"limits_changed", changes.limits_changed},
-             {"dropped", changes.dropped}});
+             {"dropped", changes.dropped_fingerprints}});
 }
 
 void serving_desk::servers_listed(std::vector<server_entry> all)
@@ -126,27 +126,27 @@
 
 void serving_desk::residency_heard(engine_residency told)
 {
-    if (this->known.residency_heard(std::move(told), this->clock.now()))
+    if (this->known.update_residency(std::move(told), this->clock.now()))
         this->changed();
 }
 
 void serving_desk::outlook_heard(const std::string& model, instant ready)
 {
-    if (this->known.outlook_heard(model, ready, this->clock.now()))
+    if (this->known.update_expected_load(model, ready, this->clock.now()))
         this->changed();
 }
 
 void serving_desk::contradicted(
     std::string_view engine, std::string_view servable)
 {
-    if (this->known.contradicted(engine, servable, this->clock.now()))
+    if (this->known.mark_refused(engine, servable, this->clock.now()))
         this->publish();
 }
 
 bool serving_desk::unreached(std::string_view server)
 {
     const instant now = this->clock.now();
-    const auto back = this->known.unreached(server, now);
+    const auto back = this->known.mark_unreachable(server, now);
     if (!back)
         return false;
     this->events.report(
--- a/src/core/dissemination/directory_copy.cpp
+++ b/src/core/dissemination/directory_copy.cpp
@@ -30,7 +30,7 @@
         if (change.what == registry_change::kind::gone)
             continue;
         entries.push_back(change.entry);
-        entries.back().heard = change.offset;
+        entries.back().registry_revision = change.offset;
     }
     return entries;
 }
--- a/src/core/dissemination/registry_changes.cpp
+++ b/src/core/dissemination/registry_changes.cpp
@@ -63,7 +63,10 @@
         return;
     const bool models_only = is_known && same_but_models(found->second, told);
     this->known.insert_or_assign(entry.id, told);
-    this->collect({told.heard, models_only ? models : whole, std::move(told)});
+    this->collect(
+        {told.registry_revision,
+         models_only ? models : whole,
+         std::move(told)});
 }
 
 void registry_changes::removed(std::string_view id, std::uint64_t offset)
@@ -92,7 +95,8 @@
     std::vector<registry_change> entries;
     entries.reserve(this->known.size());
     for (const auto& [id, entry] : this->known)
-        entries.push_back({entry.heard, registry_change::kind::whole, entry});
+        entries.push_back(
+            {entry.registry_revision, registry_change::kind::whole, entry});
     for (const removal& one : this->removals)
         entries.push_back(gone_change(one.id, one.offset));
     return entries;
@@ -128,9 +132,9 @@
     std::vector<registry_change> changes;
     for (const auto& [id, entry] : this->known)
     {
-        if (entry.heard >= offset)
+        if (entry.registry_revision >= offset)
             changes.push_back(
-                {entry.heard, registry_change::kind::whole, entry});
+                {entry.registry_revision, registry_change::kind::whole, entry});
     }
     for (const removal& one : this->removals)
     {
@@ -174,7 +178,7 @@
     server_entry now = change.what == whole ? change.entry : found->second;
     now.holdings = change.entry.holdings;
     now.holdings.copies_known = false;
-    now.heard = change.offset;
+    now.registry_revision = change.offset;
     this->known.insert_or_assign(now.id, now);
     return now;
 }
--- a/src/core/pacing/server_limit_word.hpp
+++ b/src/core/pacing/server_limit_update.hpp
@@ -9,7 +9,7 @@
 
 /// A server's limit as sent to other routers. It carries an age instead of a
 /// timestamp because the clocks of different routers can't be compared.
-struct told_server_limit
+struct server_limit_entry
 {
     std::string server;    ///< id of the server's registry entry
     double per_second = 0; ///< 0: the limit has ended
@@ -25,10 +25,10 @@
 /// Message from one router to all others about limits that changed or still
 /// hold. The message is repeated in case packets are lost. A router that misses
 /// every copy learns the limit from the next answer of the server.
-struct server_limit_word
+struct server_limit_update
 {
     std::string router;
-    std::vector<told_server_limit> limits;
+    std::vector<server_limit_entry> limits;
 
     template <class Archive>
     void serialize(Archive& archive)
--- a/src/core/pacing/server_limits.cpp
+++ b/src/core/pacing/server_limits.cpp
@@ -61,7 +61,7 @@
     this->pending_announcements.push_back(record.limit.server);
 }
 
-void server_limits::answered(
+void server_limits::handle_answer(
     std::string_view server,
     std::optional<double> announced,
     instant sent,
@@ -88,9 +88,10 @@
         this->announce(*record, now);
 }
 
-void server_limits::heard(const server_limit_word& word, instant now)
+void server_limits::handle_update(
+    const server_limit_update& update, instant now)
 {
-    for (const told_server_limit& reported : word.limits)
+    for (const server_limit_entry& reported : update.limits)
     {
         const auto age =
             std::clamp<std::int64_t>(reported.age_us, 0, max_age_us);
@@ -112,7 +113,7 @@
     }
 }
 
-void server_limits::forget(std::string_view server)
+void server_limits::remove(std::string_view server)
 {
     const auto found = this->entries.find(server);
     if (found == this->entries.end())
@@ -139,7 +140,7 @@
             expired.push_back(server);
     }
     for (const std::string& server : expired)
-        this->forget(server);
+        this->remove(server);
 }
 
 std::optional<instant> server_limits::next_tick() const
@@ -181,12 +182,12 @@
     return std::exchange(this->changes, {});
 }
 
-std::optional<server_limit_word> server_limits::take_word(instant now)
+std::optional<server_limit_update> server_limits::take_update(instant now)
 {
     if (this->pending_announcements.empty())
         return std::nullopt;
-    server_limit_word word;
-    word.router = this->settings.router;
+    server_limit_update update;
+    update.router = this->settings.router;
     for (const std::string& server :
          std::exchange(this->pending_announcements, {}))
     {
@@ -194,10 +195,10 @@
         if (found == this->entries.end())
             continue;
         const server_limit& limit = found->second.limit;
-        word.limits.push_back(
+        update.limits.push_back(
             {server, limit.per_second, duration(now - limit.seen).count()});
     }
-    return word;
+    return update;
 }
 
 } // namespace roseworks
--- a/src/core/pacing/server_limits.hpp
+++ b/src/core/pacing/server_limits.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/pacing/server_limit.hpp"
-#include "core/pacing/server_limit_word.hpp"
+#include "core/pacing/server_limit_update.hpp"
 
 #include <roseworks/instant.hpp>
 
@@ -60,17 +60,17 @@
         @param announced Requests per second; empty if the answer has no limit.
         @param sent      When the request of this answer was sent.
     */
-    void answered(
+    void handle_answer(
         std::string_view server,
         std::optional<double> announced,
         instant sent,
         instant now);
 
     /// Processes a message of another router.
-    void heard(const server_limit_word& word, instant now);
+    void handle_update(const server_limit_update& update, instant now);
 
     /// Drops the limit of a server that is gone or was restarted.
-    void forget(std::string_view server);
+    void remove(std::string_view server);
 
     void tick(instant now);
 
@@ -87,7 +87,7 @@
     std::vector<server_limit> take_changes();
 
     /// @return The message to send to all other routers now, if any.
-    std::optional<server_limit_word> take_word(instant now);
+    std::optional<server_limit_update> take_update(instant now);
 
 private:
     struct entry
--- a/src/core/quota/counted_limits.cpp
+++ b/src/core/quota/global_limits.cpp
@@ -1,4 +1,4 @@
-#include "core/quota/counted_limits.hpp"
+#include "core/quota/global_limits.hpp"
 
 namespace roseworks
 {
@@ -12,10 +12,10 @@
 
 } // namespace
 
-counted_limits
+global_limits
 limits_of(const deployment& configuration, const quota_bounds& bounds)
 {
-    counted_limits limits;
+    global_limits limits;
     if (!configuration.organisations)
         return limits;
     for (const organisation& entry : *configuration.organisations)
@@ -26,7 +26,7 @@
     return limits;
 }
 
-counted_limit limit_of_server(double per_second)
+global_limit limit_of_server(double per_second)
 {
     constexpr double one_request = 1;
     return {{per_second, one_request}, 0, one_request};
--- a/src/core/quota/counted_limits.hpp
+++ b/src/core/quota/global_limits.hpp
@@ -12,24 +12,24 @@
 {
 
 /// A rate limit that applies to the sum of the usage at all routers.
-struct counted_limit
+struct global_limit
 {
     usage_limit total;
     double slack = 0; ///< tolerated on top of the limit in each window
     /// Minimum burst of a router that enforces its share locally, however small
     /// that share is.
-    double least_burst = 0;
+    double min_burst = 0;
 };
 
 /// Limits by account name.
-using counted_limits = std::map<std::string, counted_limit, std::less<>>;
+using global_limits = std::map<std::string, global_limit, std::less<>>;
 
 /// @return The limits that the configuration sets, by organisation name.
-counted_limits
+global_limits
 limits_of(const deployment& configuration, const quota_bounds& bounds);
 
 /// @return The limit for a rate that a backend server announced.
-counted_limit limit_of_server(double per_second);
+global_limit limit_of_server(double per_second);
 
 /// @return The account name for a backend server's limit.
 /// @param server id of its registry entry.
--- a/src/core/quota/limit_share.hpp
+++ b/src/core/quota/limit_share.hpp
@@ -29,7 +29,7 @@
     A router that changes its accountant, or falls back to its local share, may
     be counted twice for at most this long. The tolerated excess covers that.
 */
-inline duration contact_life(const quota_bounds& bounds)
+inline duration contact_timeout(const quota_bounds& bounds)
 {
     constexpr duration shortest = std::chrono::milliseconds(200);
     constexpr duration longest = std::chrono::milliseconds(1000);
--- a/src/core/quota/quota_accountant.cpp
+++ b/src/core/quota/quota_accountant.cpp
@@ -46,7 +46,7 @@
 {
 }
 
-void quota_accountant::limits_changed(const counted_limits& all, instant now)
+void quota_accountant::set_limits(const global_limits& all, instant now)
 {
     this->refill_buckets(now);
     std::map<std::string, account, std::less<>> next;
@@ -61,30 +61,32 @@
     this->accounts_by_name = std::move(next);
 }
 
-void quota_accountant::routers_known(std::size_t count)
+void quota_accountant::set_router_count(std::size_t count)
 {
     this->known_routers = std::max<std::size_t>(count, 1);
 }
 
-quota_answer quota_accountant::heard(const quota_ask& ask, instant now)
+quota_reply
+quota_accountant::handle_query(const quota_query& query, instant now)
 {
-    router& from = this->routers[ask.router];
+    router& from = this->routers[query.router];
     // The router regards the contact as lost after the same time.
-    if (ask.heard_ago_us >= 0)
+    if (query.last_reply_age_us >= 0)
         from.contact_until = std::max(
             from.contact_until,
-            now - clamp_time(ask.heard_ago_us) + contact_life(this->bounds));
-    from.counted_from = ask.counts_in_us < 0
+            now - clamp_time(query.last_reply_age_us) +
+                contact_timeout(this->bounds));
+    from.counted_from = query.counting_delay_us < 0
                             ? instant::max()
-                            : now + clamp_time(ask.counts_in_us);
+                            : now + clamp_time(query.counting_delay_us);
     this->refill_buckets(now);
-    for (const quota_return& returned : ask.returns)
+    for (const quota_return& returned : query.returns)
         this->apply_return(returned);
-    quota_answer answer;
-    answer.accountant = this->name;
-    for (const quota_draw& draw : ask.draws)
-        answer.results.push_back(this->evaluate(draw, from));
-    return answer;
+    quota_reply reply;
+    reply.accountant = this->name;
+    for (const quota_draw& draw : query.draws)
+        reply.results.push_back(this->evaluate(draw, from));
+    return reply;
 }
 
 quota_result quota_accountant::evaluate(const quota_draw& draw, router& from)
@@ -102,7 +104,7 @@
         const usage_limit bucket_limit =
             share_of(entry.limit, this->active_fraction);
         const auto wait = entry.bucket.take(
-            draw.amount, clamp_time(draw.longest_wait_us), bucket_limit);
+            draw.amount, clamp_time(draw.max_wait_us), bucket_limit);
         result.is_allowed = wait.has_value();
         (wait ? entry.used : entry.refused) += draw.amount;
         result.wait_us =
@@ -125,13 +127,13 @@
     if (found != this->accounts_by_name.end())
         return &found->second;
     const bool is_announced = is_server_account(draw.organisation) &&
-                              draw.named_per_second > 0 &&
-                              is_valid_amount(draw.named_per_second);
+                              draw.announced_per_second > 0 &&
+                              is_valid_amount(draw.announced_per_second);
     if (!is_announced || this->accounts_by_name.size() >= max_accounts)
         return nullptr;
     // The message about this limit is delayed or was lost.
     account& added = this->accounts_by_name[draw.organisation];
-    added.limit = limit_of_server(draw.named_per_second).total;
+    added.limit = limit_of_server(draw.announced_per_second).total;
     return &added;
 }
 
@@ -158,8 +160,8 @@
         return;
     // After a process freeze, routers that were heard before have moved to
     // another accountant.
-    const duration elapsed =
-        std::min<duration>(now - this->last_refill, contact_life(this->bounds));
+    const duration elapsed = std::min<duration>(
+        now - this->last_refill, contact_timeout(this->bounds));
     this->last_refill = now;
     if (this->routers.size() > 2 * this->known_routers)
         std::erase_if(
--- a/src/core/quota/quota_accountant.hpp
+++ b/src/core/quota/quota_accountant.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "core/quota/counted_limits.hpp"
-#include "core/quota/quota_words.hpp"
+#include "core/quota/global_limits.hpp"
+#include "core/quota/quota_messages.hpp"
 #include "core/quota/token_bucket.hpp"
 
 #include <roseworks/instant.hpp>
@@ -32,13 +32,13 @@
     quota_accountant(std::string own_name, quota_bounds bounds);
 
     /// Replaces the limits in force.
-    void limits_changed(const counted_limits& all, instant now);
+    void set_limits(const global_limits& all, instant now);
 
     /// @param count Number of routers that ever announced themselves.
-    void routers_known(std::size_t count);
+    void set_router_count(std::size_t count);
 
     /// Processes a message of a router.
-    quota_answer heard(const quota_ask& ask, instant now);
+    quota_reply handle_query(const quota_query& query, instant now);
 
     /// Refills the buckets; to be called at least every 100 ms.
     void tick(instant now);
--- a/src/core/quota/quota_client.cpp
+++ b/src/core/quota/quota_client.cpp
@@ -38,10 +38,10 @@
 {
     constexpr decision_method methods[] = {
         &quota_client::ask_accountant, &quota_client::decide_locally};
-    this->method = methods[static_cast<std::size_t>(this->settings.way)];
+    this->method = methods[static_cast<std::size_t>(this->settings.mode)];
 }
 
-void quota_client::limits_changed(counted_limits all)
+void quota_client::set_limits(global_limits all)
 {
     this->limits = std::move(all);
     std::erase_if(
@@ -52,7 +52,7 @@
         });
 }
 
-void quota_client::accountants_known(
+void quota_client::set_accountants(
     std::vector<std::string> names, std::size_t known)
 {
     this->router_count = std::max<std::size_t>(known, 1);
@@ -79,7 +79,7 @@
 std::uint64_t quota_client::draw(
     std::string_view organisation,
     double amount,
-    duration longest_wait,
+    duration max_wait,
     instant now)
 {
     const std::uint64_t id = ++this->last_id;
@@ -88,7 +88,7 @@
         id,
         std::string(organisation),
         amount,
-        std::max(longest_wait, duration::zero()).count(),
+        std::max(max_wait, duration::zero()).count(),
         this->announced_limit(organisation)};
     added.created_at = now;
     added.last_sent_at = now;
@@ -114,7 +114,7 @@
     }
     this->send_query(
         this->contacts[this->current_index], {this->waiting.at(id).draw}, now);
-    this->schedule_by(now + this->settings.resend);
+    this->schedule_by(now + this->settings.resend_interval);
 }
 
 void quota_client::decide_locally(std::uint64_t id, instant now)
@@ -131,15 +131,14 @@
         token_bucket& bucket = this->local_buckets[draw.organisation];
         decision.retry_after = std::clamp(
             bucket.time_until(draw.amount, bucket_limit),
-            this->settings.give_up,
+            this->settings.decision_timeout,
             max_retry_after);
         // A request above this router's burst could pass at every router.
-        const auto wait = draw.amount > bucket_limit.burst
-                              ? std::nullopt
-                              : bucket.take(
-                                    draw.amount,
-                                    duration(draw.longest_wait_us),
-                                    bucket_limit);
+        const auto wait =
+            draw.amount > bucket_limit.burst
+                ? std::nullopt
+                : bucket.take(
+                      draw.amount, duration(draw.max_wait_us), bucket_limit);
         decision.is_allowed = wait.has_value();
         decision.wait = wait.value_or(duration::zero());
     }
@@ -154,21 +153,21 @@
 }
 
 usage_limit
-quota_client::local_limit(const counted_limit& limit, instant now) const
+quota_client::local_limit(const global_limit& limit, instant now) const
 {
     /// Fractions of the slack. With accountants, the slack bucket may refill
     /// once per window, so it gives at most twice its size in any window. With
     /// local shares only, the slack never refills and is used once.
     constexpr double slack_use_with_accountant = 0.5;
     constexpr double slack_use_without = 0.95;
-    const bool uses_local_shares = this->settings.way == quota_way::own_share;
+    const bool uses_local_shares =
+        this->settings.mode == quota_mode::local_share;
     const double fraction = this->own_fraction();
     const double slack =
         limit.slack * fraction *
         (uses_local_shares ? slack_use_without : slack_use_with_accountant);
     usage_limit bucket_limit = share_of(limit.total, fraction);
-    bucket_limit.burst =
-        std::max(bucket_limit.burst, limit.least_burst) + slack;
+    bucket_limit.burst = std::max(bucket_limit.burst, limit.min_burst) + slack;
     if (!uses_local_shares && !this->has_no_accountant(now))
         bucket_limit = {slack / seconds(this->settings.bounds.window), slack};
     return bucket_limit;
@@ -188,22 +187,22 @@
 
 bool quota_client::has_no_accountant(instant now) const
 {
-    const duration timeout = contact_life(this->settings.bounds);
+    const duration timeout = contact_timeout(this->settings.bounds);
     return std::ranges::none_of(
         this->contacts,
         [now, timeout](const accountant_contact& contact)
         {
-            return contact.last_answer_at &&
-                   now - *contact.last_answer_at <= timeout;
+            return contact.last_reply_at &&
+                   now - *contact.last_reply_at <= timeout;
         });
 }
 
 bool quota_client::is_ready(
     const accountant_contact& contact, instant now) const
 {
-    const duration timeout = contact_life(this->settings.bounds);
-    return !contact.is_unresponsive && contact.last_answer_at &&
-           now - *contact.last_answer_at <= timeout &&
+    const duration timeout = contact_timeout(this->settings.bounds);
+    return !contact.is_unresponsive && contact.last_reply_at &&
+           now - *contact.last_reply_at <= timeout &&
            contact.counted_from <= now &&
            now - contact.contact_since >= timeout / 2;
 }
@@ -233,15 +232,15 @@
 
 void quota_client::start_contact(accountant_contact& contact, instant now)
 {
-    const duration timeout = contact_life(this->settings.bounds);
+    const duration timeout = contact_timeout(this->settings.bounds);
     std::optional<instant> other;
     for (const accountant_contact& before : this->contacts)
     {
-        const bool counts = &before != &contact && before.last_answer_at &&
+        const bool counts = &before != &contact && before.last_reply_at &&
                             before.counted_from <= now &&
-                            now - *before.last_answer_at <= timeout;
+                            now - *before.last_reply_at <= timeout;
         if (counts)
-            other = std::max(other.value_or(instant()), *before.last_answer_at);
+            other = std::max(other.value_or(instant()), *before.last_reply_at);
     }
     // The tolerated excess covers one double count of a router per window.
     const bool may_overlap =
@@ -267,26 +266,27 @@
 void quota_client::send_query(
     accountant_contact& to, std::vector<quota_draw> draws, instant now)
 {
-    quota_ask ask;
-    ask.router = this->settings.router;
-    if (to.last_answer_at)
-        ask.heard_ago_us = duration(now - *to.last_answer_at).count();
+    quota_query query;
+    query.router = this->settings.router;
+    if (to.last_reply_at)
+        query.last_reply_age_us = duration(now - *to.last_reply_at).count();
     if (to.counted_from != instant::max())
-        ask.counts_in_us =
+        query.counting_delay_us =
             std::max(duration(to.counted_from - now), duration::zero()).count();
-    ask.draws = std::move(draws);
-    ask.returns = std::exchange(this->returns, {});
+    query.draws = std::move(draws);
+    query.returns = std::exchange(this->returns, {});
     to.last_message_at = now;
     if (!to.unanswered_since)
         to.unanswered_since = now;
-    this->schedule_by(now + this->settings.next_accountant);
-    this->messages.push_back({to.name, std::move(ask)});
+    this->schedule_by(now + this->settings.failover_timeout);
+    this->messages.push_back({to.name, std::move(query)});
 }
 
-void quota_client::give_back(
+void quota_client::return_tokens(
     std::string_view organisation, double amount, instant now)
 {
-    const bool uses_local_shares = this->settings.way == quota_way::own_share;
+    const bool uses_local_shares =
+        this->settings.mode == quota_mode::local_share;
     if (!uses_local_shares && !this->has_no_accountant(now))
     {
         if (this->returns.size() < max_pending_returns)
@@ -299,16 +299,16 @@
             amount, this->local_limit(limit->second, now));
 }
 
-void quota_client::heard(const quota_answer& answer, instant now)
+void quota_client::handle_reply(const quota_reply& reply, instant now)
 {
     const auto from = std::ranges::find(
-        this->contacts, answer.accountant, &accountant_contact::name);
+        this->contacts, reply.accountant, &accountant_contact::name);
     if (from == this->contacts.end())
         return;
     const bool is_new =
-        !from->last_answer_at ||
-        now - *from->last_answer_at > contact_life(this->settings.bounds);
-    from->last_answer_at = now;
+        !from->last_reply_at ||
+        now - *from->last_reply_at > contact_timeout(this->settings.bounds);
+    from->last_reply_at = now;
     from->unanswered_since.reset();
     from->is_unresponsive = false;
     const bool starts_contact = is_new || from->counted_from == instant::max();
@@ -320,8 +320,8 @@
     if (starts_contact && from->counted_from != instant::max())
         this->send_query(*from, {}, now);
     const bool is_final =
-        answer.accountant == this->accountant() && this->is_ready(*from, now);
-    for (const quota_result& result : answer.results)
+        reply.accountant == this->accountant() && this->is_ready(*from, now);
+    for (const quota_result& result : reply.results)
     {
         const auto found = this->waiting.find(result.id);
         if (result.is_allowed || is_final)
@@ -337,7 +337,7 @@
     if (found == this->waiting.end())
         return;
     const duration max_wait = result.is_allowed
-                                  ? duration(found->second.draw.longest_wait_us)
+                                  ? duration(found->second.draw.max_wait_us)
                                   : max_retry_after;
     const duration wait =
         std::clamp(duration(result.wait_us), duration::zero(), max_wait);
@@ -353,9 +353,9 @@
         this->last_tick != instant() && now - this->next_due > max_tick_delay;
     this->last_tick = now;
     this->next_due =
-        now + contact_life(this->settings.bounds) / messages_per_timeout;
+        now + contact_timeout(this->settings.bounds) / messages_per_timeout;
     this->refill_local_buckets(now);
-    if (this->settings.way == quota_way::own_share)
+    if (this->settings.mode == quota_mode::local_share)
         return;
     if (was_suspended)
     {
@@ -374,14 +374,14 @@
     {
         if (!contact.unanswered_since)
             continue;
-        if (now - *contact.unanswered_since >= this->settings.next_accountant)
+        if (now - *contact.unanswered_since >= this->settings.failover_timeout)
         {
             contact.is_unresponsive = true;
             contact.unanswered_since.reset();
         }
         else
             this->schedule_by(
-                *contact.unanswered_since + this->settings.next_accountant);
+                *contact.unanswered_since + this->settings.failover_timeout);
     }
 }
 
@@ -391,17 +391,17 @@
     std::vector<quota_draw> resent;
     for (auto& [id, entry] : this->waiting)
     {
-        if (now - entry.created_at >= this->settings.give_up)
+        if (now - entry.created_at >= this->settings.decision_timeout)
         {
             timed_out.push_back(id);
             continue;
         }
-        if (now - entry.last_sent_at >= this->settings.resend)
+        if (now - entry.last_sent_at >= this->settings.resend_interval)
         {
             entry.last_sent_at = now;
             resent.push_back(entry.draw);
         }
-        this->schedule_by(entry.last_sent_at + this->settings.resend);
+        this->schedule_by(entry.last_sent_at + this->settings.resend_interval);
     }
     for (const std::uint64_t id : timed_out)
     {
@@ -420,7 +420,7 @@
 void quota_client::send_keepalives(instant now)
 {
     const duration keepalive_interval =
-        contact_life(this->settings.bounds) / messages_per_timeout;
+        contact_timeout(this->settings.bounds) / messages_per_timeout;
     // Preferred accountants that were silent may answer again.
     for (std::size_t i = 0; i < this->contacts.size(); ++i)
     {
--- a/src/core/quota/quota_client.hpp
+++ b/src/core/quota/quota_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "core/quota/counted_limits.hpp"
-#include "core/quota/quota_words.hpp"
+#include "core/quota/global_limits.hpp"
+#include "core/quota/quota_messages.hpp"
 #include "core/quota/token_bucket.hpp"
 
 #include <roseworks/instant.hpp>
@@ -19,10 +19,10 @@
 {
 
 /// How a router decides whether a request is within its organisation's limit.
-enum class quota_way : std::uint8_t
+enum class quota_mode : std::uint8_t
 {
     accountant, ///< one router counts for all that report to it
-    own_share   ///< each router enforces an equal share locally
+    local_share ///< each router enforces an equal share locally
 };
 
 /// Decision on a request's draw.
@@ -38,7 +38,7 @@
 struct quota_message
 {
     std::string to; ///< name of the accountant
-    quota_ask ask;
+    quota_query query;
 };
 
 /** Client side of the limits that apply to all routers together.
@@ -58,38 +58,39 @@
     {
         std::string router;
         quota_bounds bounds;
-        quota_way way = quota_way::accountant;
+        quota_mode mode = quota_mode::accountant;
         /// Resend a draw that got no answer, as packets may be lost.
-        duration resend = std::chrono::milliseconds(40);
+        duration resend_interval = std::chrono::milliseconds(40);
         /// Fail over from an accountant that has not answered for this long.
-        duration next_accountant = std::chrono::milliseconds(80);
+        duration failover_timeout = std::chrono::milliseconds(80);
         /// Decide a draw locally after this long.
-        duration give_up = std::chrono::milliseconds(300);
+        duration decision_timeout = std::chrono::milliseconds(300);
         std::uint64_t seed = 1; ///< draw ids start after it
     };
 
     explicit quota_client(options settings);
 
-    void limits_changed(counted_limits all);
+    void set_limits(global_limits all);
 
     /// @param names Routers that may act as accountant, the preferred one
     /// first;
     ///              the same list on each router.
     /// @param known Number of all routers.
-    void accountants_known(std::vector<std::string> names, std::size_t known);
+    void set_accountants(std::vector<std::string> names, std::size_t known);
 
     /// Requests tokens for one request.
     /// @return The draw's id. Its decision is returned by `take_decisions`.
     std::uint64_t draw(
         std::string_view organisation,
         double amount,
-        duration longest_wait,
+        duration max_wait,
         instant now);
 
     /// Returns the tokens of a request that did not run.
-    void give_back(std::string_view organisation, double amount, instant now);
+    void
+    return_tokens(std::string_view organisation, double amount, instant now);
 
-    void heard(const quota_answer& answer, instant now);
+    void handle_reply(const quota_reply& reply, instant now);
 
     void tick(instant now);
 
@@ -122,7 +123,7 @@
         instant contact_since; ///< start of the uninterrupted contact
         instant counted_from =
             instant::max(); ///< it counts this router from then on
-        std::optional<instant> last_answer_at; ///< time of its last answer
+        std::optional<instant> last_reply_at; ///< time of its last answer
         std::optional<instant>
             unanswered_since;    ///< time of the first unanswered message
         instant last_message_at; ///< time of the last message to it
@@ -139,7 +140,7 @@
     ///         routers is known.
     double own_fraction() const;
     /// @return Rate and burst that this router may use locally now.
-    usage_limit local_limit(const counted_limit& limit, instant now) const;
+    usage_limit local_limit(const global_limit& limit, instant now) const;
     void refill_local_buckets(instant now);
     /// @return Whether no accountant is in contact with this router.
     bool has_no_accountant(instant now) const;
@@ -159,7 +160,7 @@
 
     options settings;
     decision_method method;
-    counted_limits limits;
+    global_limits limits;
     std::unordered_map<std::string, token_bucket> local_buckets; ///< by account
     std::vector<accountant_contact> contacts;
     std::size_t current_index =
--- a/src/core/quota/quota_words.hpp
+++ b/src/core/quota/quota_messages.hpp
@@ -13,10 +13,10 @@
     std::uint64_t id = 0;     ///< unique per router, also across restarts
     std::string organisation; ///< name of the account: organisation or server
     double amount = 0;
-    std::int64_t longest_wait_us = 0;
+    std::int64_t max_wait_us = 0;
     /// The limit that a backend server announced, for an accountant that
     /// doesn't know it yet; 0: the configured limit applies.
-    double named_per_second = 0;
+    double announced_per_second = 0;
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -25,8 +25,8 @@
             this->id,
             this->organisation,
             this->amount,
-            this->longest_wait_us,
-            this->named_per_second);
+            this->max_wait_us,
+            this->announced_per_second);
     }
 };
 
@@ -45,17 +45,17 @@
 
 /// Message from a router to its accountant. Draws are repeated until they are
 /// answered. Returns are not: a lost one costs the organisation these tokens.
-struct quota_ask
+struct quota_query
 {
     /// No answer came from this accountant, or it must not count this router.
     static constexpr std::int64_t never = -1;
 
     std::string router;
     /// Age of the last answer from this accountant, or `never`.
-    std::int64_t heard_ago_us = never;
+    std::int64_t last_reply_age_us = never;
     /// Time until this accountant starts to count the router, while another one
     /// still counts it, or `never`.
-    std::int64_t counts_in_us = never;
+    std::int64_t counting_delay_us = never;
     std::vector<quota_draw> draws;
     std::vector<quota_return> returns;
 
@@ -64,8 +64,8 @@
     {
         archive(
             this->router,
-            this->heard_ago_us,
-            this->counts_in_us,
+            this->last_reply_age_us,
+            this->counting_delay_us,
             this->draws,
             this->returns);
     }
@@ -88,7 +88,7 @@
 };
 
 /// The accountant's reply to each query, including one without draws.
-struct quota_answer
+struct quota_reply
 {
     std::string accountant;
     std::vector<quota_result> results;
--- a/src/core/serving/deployment.cpp
+++ b/src/core/serving/deployment.cpp
@@ -12,20 +12,20 @@
     constexpr duration min_timeout = std::chrono::seconds(2);
     constexpr int objective_factor = 4;
     constexpr int gap_factor = 8;
-    if (this->kind != repetition::streaming)
+    if (this->kind != request_kind::streaming)
         return this->timeout;
     const duration abandon_time = std::max(
         {min_timeout,
          this->objective * objective_factor,
-         this->longest_gap * gap_factor});
+         this->max_event_gap * gap_factor});
     return std::min(this->timeout, abandon_time);
 }
 
-duration path_route::longest_wait() const
+duration path_route::max_queue_time() const
 {
     /// Network time of the request to this router and of the refusal back.
     constexpr duration round_trip = std::chrono::milliseconds(100);
-    const bool is_bounded = this->kind == repetition::streaming &&
+    const bool is_bounded = this->kind == request_kind::streaming &&
                             !this->resumable &&
                             this->first_event_timeout() > round_trip;
     return is_bounded ? this->first_event_timeout() - round_trip
--- a/src/core/serving/deployment.hpp
+++ b/src/core/serving/deployment.hpp
@@ -15,7 +15,7 @@
 {
 
 /// Whether a request may be retried when its outcome isn't known.
-enum class repetition : std::uint8_t
+enum class request_kind : std::uint8_t
 {
     idempotent,     ///< may run more than once
     non_idempotent, ///< runs at most once
@@ -37,14 +37,15 @@
     std::string name;
     std::string host;
     std::string path_prefix; ///< begins and ends with a slash
-    repetition kind = repetition::non_idempotent;
-    duration timeout{};     ///< time limit of a request
-    duration objective{};   ///< target time for the answer or the first event
-    duration longest_gap{}; ///< longest expected gap between events of a stream
-    std::uint8_t rank = 0;  ///< 0 is the highest priority
+    request_kind kind = request_kind::non_idempotent;
+    duration timeout{};   ///< time limit of a request
+    duration objective{}; ///< target time for the answer or the first event
+    duration
+        max_event_gap{};   ///< longest expected gap between events of a stream
+    std::uint8_t rank = 0; ///< 0 is the highest priority
     std::uint32_t max_attempts = 1; ///< backend servers tried per request
     bool resumable = false;         ///< a stream may resume on another server
-    bool keyless = false;           ///< callers need no API key
+    bool allow_anonymous = false;   ///< callers need no API key
     std::vector<service_share> services;
 
     /** @return The longest time that a caller waits for a stream's first event.
@@ -60,13 +61,13 @@
     ///         shorter than the caller's wait, which began earlier. For a
     ///         stream that can resume, the caller's wait restarts with each
     ///         event, so only its time limit counts.
-    duration longest_wait() const;
+    duration max_queue_time() const;
 
     /// @return Whether a request may run again after one that may have run.
     bool repeatable() const
     {
-        return this->kind == repetition::idempotent ||
-               (this->kind == repetition::streaming && this->resumable);
+        return this->kind == request_kind::idempotent ||
+               (this->kind == request_kind::streaming && this->resumable);
     }
 
     bool operator==(const path_route&) const = default;
@@ -92,7 +93,7 @@
     std::uint32_t slots = 1;   ///< concurrent requests
     double memory_mb = 0;      ///< accelerator memory for weights and adapters
     double host_memory_mb = 0; ///< host memory for copies of weights
-    std::uint32_t adapter_places = 0;
+    std::uint32_t adapter_slots = 0;
     double store_loads_per_second = 0; ///< total of all engines
     std::vector<model_profile> models;
 
--- a/src/core/serving/organisation_changes.cpp
+++ b/src/core/serving/organisation_changes.cpp
@@ -60,8 +60,9 @@
         if (new_keys.contains(key))
             continue;
         if (changes.keys_dropped < max_named)
-            changes.dropped +=
-                (changes.dropped.empty() ? "" : " ") + fingerprint_of(key);
+            changes.dropped_fingerprints +=
+                (changes.dropped_fingerprints.empty() ? "" : " ") +
+                fingerprint_of(key);
         ++changes.keys_dropped;
     }
     const limit_map old_limits = limits_of(before);
--- a/src/core/serving/server_entry.hpp
+++ b/src/core/serving/server_entry.hpp
@@ -49,7 +49,7 @@
     engine_holdings holdings;
     /// Revision of this entry in the registry. Of two servers at one address,
     /// the one with the higher revision is running.
-    std::uint64_t heard = 0;
+    std::uint64_t registry_revision = 0;
 
     /// Compares everything but the registry revision.
     bool operator==(const server_entry& other) const
--- a/src/core/serving/serving_view.cpp
+++ b/src/core/serving/serving_view.cpp
@@ -114,11 +114,11 @@
         return true;
     }
     server& record = found->second;
-    if (entry.heard < record.entry.heard)
+    if (entry.registry_revision < record.entry.registry_revision)
         return false; // outdated entry from a slow listing
     const bool was_expiring = record.expires_at.has_value();
     record.expires_at.reset();
-    record.entry.heard = entry.heard;
+    record.entry.registry_revision = entry.registry_revision;
     if (!entry.holdings.copies_known && record.entry.born_ms == entry.born_ms)
         keep_copies(entry.holdings, record.entry.holdings);
     const bool was_superseded = record.superseded;
@@ -186,7 +186,7 @@
     this->reregistration_deadline = now + this->settings.reregistration_period;
 }
 
-bool serving_view::residency_heard(engine_residency report, instant now)
+bool serving_view::update_residency(engine_residency report, instant now)
 {
     const auto found = this->servers_by_id.find(report.engine);
     if (found == this->servers_by_id.end() ||
@@ -210,7 +210,7 @@
     return changed;
 }
 
-bool serving_view::outlook_heard(
+bool serving_view::update_expected_load(
     const std::string& model, instant ready, instant now)
 {
     const auto [place, added] =
@@ -225,7 +225,7 @@
     return true;
 }
 
-bool serving_view::contradicted(
+bool serving_view::mark_refused(
     std::string_view engine, std::string_view servable, instant now)
 {
     const auto found = this->servers_by_id.find(engine);
@@ -241,7 +241,8 @@
     return true;
 }
 
-std::optional<instant> serving_view::unreached(std::string_view id, instant now)
+std::optional<instant>
+serving_view::mark_unreachable(std::string_view id, instant now)
 {
     const auto found = this->servers_by_id.find(id);
     if (found == this->servers_by_id.end() || !this->catalogue)
@@ -348,12 +349,13 @@
         return;
     std::uint64_t latest = 0;
     for (const std::string& id : found->second)
-        latest =
-            std::max(latest, this->servers_by_id.find(id)->second.entry.heard);
+        latest = std::max(
+            latest,
+            this->servers_by_id.find(id)->second.entry.registry_revision);
     for (const std::string& id : found->second)
     {
         server& record = this->servers_by_id.find(id)->second;
-        record.superseded = record.entry.heard < latest;
+        record.superseded = record.entry.registry_revision < latest;
     }
 }
 
--- a/src/core/serving/serving_view.hpp
+++ b/src/core/serving/serving_view.hpp
@@ -104,12 +104,13 @@
 
     /// Processes the placement owner's report on an engine.
     /// @return Whether anything relevant to routing changed.
-    bool residency_heard(engine_residency report, instant now);
+    bool update_residency(engine_residency report, instant now);
 
     /// Processes the expected load time of a model that no engine has, sent by
     /// the placement owner.
     /// @return Whether the time was new or changed noticeably.
-    bool outlook_heard(const std::string& model, instant ready, instant now);
+    bool
+    update_expected_load(const std::string& model, instant ready, instant now);
 
     /** Records that an engine refused a request because it lacks the model or
         adapter.
@@ -120,7 +121,7 @@
         @param servable Key of the model or adapter.
         @return         Whether the engine is known.
     */
-    bool contradicted(
+    bool mark_refused(
         std::string_view engine, std::string_view servable, instant now);
 
     /** Records that no connection to a server could be opened.
@@ -128,7 +129,8 @@
         @return End of the engine's back-off; empty for plain servers, and when
                 a back-off is already in effect.
     */
-    std::optional<instant> unreached(std::string_view server, instant now);
+    std::optional<instant>
+    mark_unreachable(std::string_view server, instant now);
 
     /// @return Whether servers, reports, refusals or back-offs expired.
     bool tick(instant now);
--- a/src/core/swapping/swap_planner.cpp
+++ b/src/core/swapping/swap_planner.cpp
@@ -610,7 +610,7 @@
             continue;
         const engine_profile* profile =
             current.engines.find_profile(what.service);
-        const bool full = engine.adapter_count() >= profile->adapter_places;
+        const bool full = engine.adapter_count() >= profile->adapter_slots;
         const std::tuple cost(full, current.infos.at(&engine).running);
         if (best == nullptr || cost < best_cost)
         {
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/dissemination/directory_word.hpp"
-#include "core/pacing/server_limit_word.hpp"
-#include "core/quota/quota_words.hpp"
+#include "core/pacing/server_limit_update.hpp"
+#include "core/quota/quota_messages.hpp"
 #include "core/swapping/peer_words.hpp"
 
 #include <span>
@@ -30,9 +30,9 @@
 
     /// @param from UDP ip:port of the router.
     virtual void
-    quota_ask_heard(const quota_ask& ask, std::string_view from) = 0;
-    virtual void quota_answer_heard(const quota_answer& answer) = 0;
-    virtual void server_limit_word_heard(const server_limit_word& word) = 0;
+    quota_ask_heard(const quota_query& ask, std::string_view from) = 0;
+    virtual void quota_answer_heard(const quota_reply& answer) = 0;
+    virtual void server_limit_word_heard(const server_limit_update& word) = 0;
 };
 
 /// Port: datagrams between the gateways. Each may be lost.
@@ -54,9 +54,9 @@
 
     virtual void send(
         std::span<const std::string> addresses,
-        const server_limit_word& word) = 0;
-    virtual void send(std::string_view address, const quota_ask& ask) = 0;
-    virtual void send(std::string_view address, const quota_answer& answer) = 0;
+        const server_limit_update& word) = 0;
+    virtual void send(std::string_view address, const quota_query& ask) = 0;
+    virtual void send(std::string_view address, const quota_reply& answer) = 0;
 
     /// Nothing is called any more.
     virtual void stop() = 0;
--- a/tests/fuzz/fuzz_quota_words.cpp
+++ b/tests/fuzz/fuzz_quota_words.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-counted_limits make_limits()
+global_limits make_limits()
 {
     deployment made;
     organisation one;
@@ -57,34 +57,34 @@
     return limits_of(made, quota_bounds());
 }
 
-void take_ask(const quota_ask& ask, instant now)
+void take_ask(const quota_query& ask, instant now)
 {
     quota_accountant accountant("a", quota_bounds());
-    accountant.limits_changed(make_limits(), now);
-    accountant.heard(ask, now);
-    const quota_answer answer =
-        accountant.heard(ask, now + std::chrono::milliseconds(100));
+    accountant.set_limits(make_limits(), now);
+    accountant.handle_query(ask, now);
+    const quota_reply answer =
+        accountant.handle_query(ask, now + std::chrono::milliseconds(100));
     check(answer.results.size() == ask.draws.size());
     const double level = accountant.accounts().at("o1").bucket.level();
     check(std::isfinite(level) && level <= burst);
 }
 
-void take_answer(const quota_answer& answer, instant now)
+void take_answer(const quota_reply& answer, instant now)
 {
     quota_client client(quota_client::options{});
-    client.limits_changed(make_limits());
-    client.accountants_known({"a", answer.accountant}, 2);
+    client.set_limits(make_limits());
+    client.set_accountants({"a", answer.accountant}, 2);
     client.tick(now);
     client.draw("o1", 1, duration::zero(), now);
-    client.heard(answer, now);
+    client.handle_reply(answer, now);
     check(client.take_decisions().size() <= 1);
 }
 
-void take_limits(const server_limit_word& word, instant now)
+void take_limits(const server_limit_update& word, instant now)
 {
     server_limits known(server_limits::options{"r"});
-    known.answered("s", 2.0, now, now);
-    known.heard(word, now);
+    known.handle_answer("s", 2.0, now, now);
+    known.handle_update(word, now);
     known.tick(now + std::chrono::milliseconds(200));
     for (const server_limit& one : known.in_force())
         check(std::isfinite(one.per_second) && one.per_second > 0);
@@ -99,11 +99,11 @@
         return 0;
     const std::string_view bytes(reinterpret_cast<const char*>(data), size);
     const instant now(std::chrono::seconds(100));
-    if (const auto ask = decode<quota_ask>(bytes))
+    if (const auto ask = decode<quota_query>(bytes))
         take_ask(*ask, now);
-    if (const auto answer = decode<quota_answer>(bytes))
+    if (const auto answer = decode<quota_reply>(bytes))
         take_answer(*answer, now);
-    if (const auto word = decode<server_limit_word>(bytes))
+    if (const auto word = decode<server_limit_update>(bytes))
         take_limits(*word, now);
     return 0;
 }
--- a/tests/unit/dissemination/test_copy_giver.cpp
+++ b/tests/unit/dissemination/test_copy_giver.cpp
@@ -16,7 +16,7 @@
 {
     server_entry made;
     made.id = id;
-    made.heard = offset;
+    made.registry_revision = offset;
     return made;
 }
 
@@ -137,5 +137,5 @@
     cr_assert(judge(copy, topic, {}) == copy_use::whole);
     const auto entries = entries_of(copy);
     cr_assert_eq(entries.size(), 1);
-    cr_assert_eq(entries[0].heard, 2);
+    cr_assert_eq(entries[0].registry_revision, 2);
 }
--- a/tests/unit/dissemination/test_registry_changes.cpp
+++ b/tests/unit/dissemination/test_registry_changes.cpp
@@ -21,7 +21,7 @@
     made.data_centre = "hall-a";
     made.holdings.resident = {{"m1", {}}};
     made.holdings.on_disk = {"m1", "m2"};
-    made.heard = heard;
+    made.registry_revision = heard;
     return made;
 }
 
@@ -67,7 +67,7 @@
     leaving.leaving = true;
     changes.read(leaving);
     cr_assert(!changes.only_models());
-    leaving.heard = 9;
+    leaving.registry_revision = 9;
     leaving.holdings.resident.clear();
     changes.read(leaving);
     const auto told = changes.take();
@@ -108,7 +108,7 @@
     const auto heard = hearer.told(changes.at(0));
     cr_assert(heard.has_value());
     cr_assert_eq(heard->address, loaded.address);
-    cr_assert_eq(heard->heard, 8);
+    cr_assert_eq(heard->registry_revision, 8);
     cr_assert(heard->holdings.resident == loaded.holdings.resident);
     hearer.read(loaded);
     cr_assert(hearer.take().empty());
@@ -176,7 +176,7 @@
     server_entry made;
     made.id = id;
     made.address = "10.0.0.1:80";
-    made.heard = offset;
+    made.registry_revision = offset;
     return made;
 }
 
--- a/tests/unit/forward/forward_fixture.cpp
+++ b/tests/unit/forward/forward_fixture.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-path_route make_route(std::string prefix, repetition kind, bool resumable)
+path_route make_route(std::string prefix, request_kind kind, bool resumable)
 {
     path_route route;
     route.name = prefix;
@@ -24,7 +24,7 @@
     route.path_prefix = std::move(prefix);
     route.kind = kind;
     route.timeout = std::chrono::seconds(30);
-    route.max_attempts = kind == repetition::non_idempotent ? 1 : 2;
+    route.max_attempts = kind == request_kind::non_idempotent ? 1 : 2;
     route.resumable = resumable;
     route.services = {{"app", 1}};
     return route;
@@ -35,7 +35,7 @@
     organisation made;
     made.name = std::move(name);
     made.counts_tokens = true;
-    made.plain_tokens = 200;
+    made.default_tokens = 200;
     if (!key.empty())
         made.keys = {digest_of(key)};
     return made;
@@ -57,12 +57,12 @@
     auto config = std::make_shared<deployment>();
     config->version = 1;
     config->routes = {
-        make_route("/once/", repetition::non_idempotent, false),
-        make_route("/again/", repetition::idempotent, false),
-        make_route("/stream/", repetition::streaming, false),
-        make_route("/resume/", repetition::streaming, true),
-        make_route("/open/", repetition::idempotent, false)};
-    config->routes.back().keyless = true;
+        make_route("/once/", request_kind::non_idempotent, false),
+        make_route("/again/", request_kind::idempotent, false),
+        make_route("/stream/", request_kind::streaming, false),
+        make_route("/resume/", request_kind::streaming, true),
+        make_route("/open/", request_kind::idempotent, false)};
+    config->routes.back().allow_anonymous = true;
     config->organisations = std::move(organisations);
     auto catalogue = std::make_shared<servable_catalogue>();
     catalogue->routes = std::make_shared<route_index>(config);
--- a/tests/unit/gateway/desk_fixture.hpp
+++ b/tests/unit/gateway/desk_fixture.hpp
@@ -227,7 +227,7 @@
         engine.slots = 24;
         engine.memory_mb = 200'000;
         engine.host_memory_mb = 130'000;
-        engine.adapter_places = 2;
+        engine.adapter_slots = 2;
         engine.store_loads_per_second = 15;
         for (const char* name : {"m0", "m1", "m2", "m3"})
         {
--- a/tests/unit/gateway/test_pace_desk.cpp
+++ b/tests/unit/gateway/test_pace_desk.cpp
@@ -32,11 +32,11 @@
     void send(std::span<const std::string>, const owner_word&) override {}
     void send(std::span<const std::string>, const break_word&) override {}
     void send(std::span<const std::string>, const directory_word&) override {}
-    void send(std::span<const std::string>, const server_limit_word&) override
+    void send(std::span<const std::string>, const server_limit_update&) override
     {
     }
-    void send(std::string_view, const quota_ask&) override {}
-    void send(std::string_view, const quota_answer&) override {}
+    void send(std::string_view, const quota_query&) override {}
+    void send(std::string_view, const quota_reply&) override {}
     void stop() override {}
 };
 
@@ -81,7 +81,7 @@
               this->view,
               *this->dispatch,
               this->quotas,
-              {[this](const server_limit_word& word)
+              {[this](const server_limit_update& word)
                {
                    this->words.push_back(word);
                },
@@ -158,7 +158,7 @@
     events::null_event_sink events;
     no_peers peers;
     serving_view view;
-    std::vector<server_limit_word> words;
+    std::vector<server_limit_update> words;
     std::map<std::string, double, std::less<>> rates;
     int asked = 0;
     std::shared_ptr<edge::shared_dispatcher> dispatch;
--- a/tests/unit/gateway/test_quota_desk.cpp
+++ b/tests/unit/gateway/test_quota_desk.cpp
@@ -28,19 +28,19 @@
     void send(std::span<const std::string>, const owner_word&) override {}
     void send(std::span<const std::string>, const break_word&) override {}
     void send(std::span<const std::string>, const directory_word&) override {}
-    void send(std::span<const std::string>, const server_limit_word&) override
+    void send(std::span<const std::string>, const server_limit_update&) override
     {
     }
     void stop() override {}
 
-    void send(std::string_view address, const quota_ask& ask) override
+    void send(std::string_view address, const quota_query& ask) override
     {
         ++this->asks;
         if (address == "strong:1" && this->strong != nullptr)
             this->strong->ask_heard(ask, "weak:1");
     }
 
-    void send(std::string_view address, const quota_answer& answer) override
+    void send(std::string_view address, const quota_reply& answer) override
     {
         if (address == "weak:1" && this->weak != nullptr)
             this->weak->answer_heard(answer);
--- a/tests/unit/quota/quota_fleet.cpp
+++ b/tests/unit/quota/quota_fleet.cpp
@@ -30,7 +30,7 @@
         this->flush(i);
 }
 
-counted_limits quota_fleet::limits() const
+global_limits quota_fleet::limits() const
 {
     deployment made;
     organisation one;
@@ -50,19 +50,19 @@
     quota_client::options made;
     made.router = one.name;
     made.bounds.slack = this->settings.slack;
-    made.way = this->settings.way;
+    made.mode = this->settings.mode;
     made.seed = this->random() << 20;
     one.client = std::make_unique<quota_client>(made);
     one.accountant = std::make_unique<quota_accountant>(one.name, made.bounds);
     one.armed = instant::max();
-    one.client->limits_changed(this->limits());
-    one.accountant->limits_changed(this->limits(), this->time);
+    one.client->set_limits(this->limits());
+    one.accountant->set_limits(this->limits(), this->time);
 }
 
 void quota_fleet::tell_routers(router& one)
 {
-    one.client->accountants_known(this->order, this->routers.size());
-    one.accountant->routers_known(this->routers.size());
+    one.client->set_accountants(this->order, this->routers.size());
+    one.accountant->set_router_count(this->routers.size());
 }
 
 void quota_fleet::at(instant when, std::function<void()> action)
@@ -167,18 +167,18 @@
 void quota_fleet::ask(std::size_t from, const quota_message& message)
 {
     const std::size_t to = this->number_of(message.to);
-    const auto answered = [this, from](const quota_answer& answer)
+    const auto answered = [this, from](const quota_reply& answer)
     {
-        this->routers[from].client->heard(answer, this->time);
+        this->routers[from].client->handle_reply(answer, this->time);
         this->flush(from);
     };
     this->carry(
         from,
         to,
-        [this, from, to, ask = message.ask, answered]
+        [this, from, to, ask = message.query, answered]
         {
-            const quota_answer answer =
-                this->routers[to].accountant->heard(ask, this->time);
+            const quota_reply answer =
+                this->routers[to].accountant->handle_query(ask, this->time);
             this->carry(
                 to,
                 from,
@@ -279,8 +279,8 @@
     this->settings.limit = limit;
     for (router& one : this->routers)
     {
-        one.client->limits_changed(this->limits());
-        one.accountant->limits_changed(this->limits(), this->time);
+        one.client->set_limits(this->limits());
+        one.accountant->set_limits(this->limits(), this->time);
     }
 }
 
--- a/tests/unit/quota/quota_fleet.hpp
+++ b/tests/unit/quota/quota_fleet.hpp
@@ -30,7 +30,7 @@
         std::size_t strong = 6; ///< the first ones: they may count
         usage_limit limit{29'000, 29'000};
         double slack = 110'000;
-        quota_way way = quota_way::accountant;
+        quota_mode mode = quota_mode::accountant;
         double loss = 0;      ///< of words
         double duplicate = 0; ///< of words
         duration shortest_delay = 500us;
@@ -139,7 +139,7 @@
     void decide(std::size_t router, const quota_decision& made);
     void arrive(double amount, duration patience, std::size_t router);
     std::size_t number_of(const std::string& name) const;
-    counted_limits limits() const;
+    global_limits limits() const;
 
     options settings;
     instant time = instant(1000s);
--- a/tests/unit/quota/test_quota_client.cpp
+++ b/tests/unit/quota/test_quota_client.cpp
@@ -16,7 +16,7 @@
 /// Beside the limits of all, in a window.
 constexpr double slack = 20'000;
 
-counted_limits make_limits()
+global_limits make_limits()
 {
     deployment made;
     organisation one;
@@ -31,31 +31,31 @@
 /// One of ten routers, two of which may count.
 struct asking_router
 {
-    explicit asking_router(quota_way way = quota_way::accountant)
-        : client(make_options(way))
+    explicit asking_router(quota_mode mode = quota_mode::accountant)
+        : client(make_options(mode))
     {
-        this->client.limits_changed(make_limits());
-        this->client.accountants_known({"a", "b"}, 10);
+        this->client.set_limits(make_limits());
+        this->client.set_accountants({"a", "b"}, 10);
         this->client.tick(at(0s));
     }
 
-    static quota_client::options make_options(quota_way way)
+    static quota_client::options make_options(quota_mode mode)
     {
         quota_client::options made;
         made.router = "r";
         made.bounds.slack = slack;
-        made.way = way;
+        made.mode = mode;
         return made;
     }
 
     /// @return Words to one accountant since the last call.
-    std::vector<quota_ask> words_to(const std::string& name)
+    std::vector<quota_query> words_to(const std::string& name)
     {
-        std::vector<quota_ask> found;
+        std::vector<quota_query> found;
         for (const quota_message& one : this->client.take_messages())
         {
             if (one.to == name)
-                found.push_back(one.ask);
+                found.push_back(one.query);
         }
         return found;
     }
@@ -63,7 +63,7 @@
     /// The accountant answers with nothing decided.
     void answer(const std::string& name, duration when)
     {
-        this->client.heard({name, {}}, at(when));
+        this->client.handle_reply({name, {}}, at(when));
     }
 
     /// An accountant answers for a second.
@@ -90,8 +90,8 @@
     const auto words = test.words_to("a");
     cr_assert_eq(words.size(), 1);
     cr_assert_eq(words[0].draws.at(0).id, id);
-    cr_assert_eq(words[0].draws.at(0).longest_wait_us, 100'000);
-    test.client.heard({"a", {{id, true, 20'000}}}, at(1002ms));
+    cr_assert_eq(words[0].draws.at(0).max_wait_us, 100'000);
+    test.client.handle_reply({"a", {{id, true, 20'000}}}, at(1002ms));
     const auto decisions = test.client.take_decisions();
     cr_assert_eq(decisions.size(), 1);
     cr_assert(decisions[0].is_allowed);
@@ -125,7 +125,7 @@
 {
     asking_router test;
     const std::uint64_t id = test.client.draw("o1", 700, 100ms, at(0s));
-    test.client.heard({"a", {{id, false, 500'000}}}, at(2ms));
+    test.client.handle_reply({"a", {{id, false, 500'000}}}, at(2ms));
     cr_assert(test.client.take_decisions().empty());
     for (duration passed = 40ms; passed < 300ms; passed += 40ms)
     {
@@ -184,7 +184,7 @@
         test.client.tick(at(when + 80ms));
         test.client.take_messages();
         test.answer(to, when + 82ms);
-        return test.words_to(to).at(0).counts_in_us;
+        return test.words_to(to).at(0).counting_delay_us;
     };
     cr_assert_eq(fail_over("b", 1s), 0);
     for (duration passed = 1100ms; passed < 2200ms; passed += 20ms)
@@ -212,15 +212,15 @@
     // The first is back, and has heard nobody yet.
     test.answer("a", 1900ms);
     cr_assert_eq(test.client.accountant(), "b");
-    test.client.accountants_known({"a", "b"}, 11);
+    test.client.set_accountants({"a", "b"}, 11);
     cr_assert_eq(test.client.accountant(), "b");
-    test.client.accountants_known({"a"}, 11);
+    test.client.set_accountants({"a"}, 11);
     cr_assert_eq(test.client.accountant(), "a");
 }
 
 Test(quota_client, own_share_asks_nobody)
 {
-    asking_router test(quota_way::own_share);
+    asking_router test(quota_mode::local_share);
     for (duration passed = 0s; passed <= 5s; passed += 250ms)
         test.client.tick(at(passed));
     test.client.draw("o1", 700, 0ms, at(5s));
@@ -230,8 +230,8 @@
 
 Test(quota_client, a_router_that_knows_of_no_other_has_no_part)
 {
-    quota_client alone(asking_router::make_options(quota_way::accountant));
-    alone.limits_changed(make_limits());
+    quota_client alone(asking_router::make_options(quota_mode::accountant));
+    alone.set_limits(make_limits());
     for (duration passed = 0s; passed <= 5s; passed += 40ms)
         alone.tick(at(passed));
     alone.draw("o1", 1, 60s, at(5s));
--- a/tests/unit/quota/test_server_accounts.cpp
+++ b/tests/unit/quota/test_server_accounts.cpp
@@ -18,12 +18,12 @@
     return instant(100s + since_start);
 }
 
-quota_ask make_ask(std::uint64_t id, double named)
+quota_query make_ask(std::uint64_t id, double named)
 {
-    quota_ask made;
+    quota_query made;
     made.router = "r";
-    made.heard_ago_us = 0;
-    made.counts_in_us = 0;
+    made.last_reply_age_us = 0;
+    made.counting_delay_us = 0;
     if (id != 0)
         made.draws = {{id, server_account("s"), 1, 0, named}};
     return made;
@@ -34,7 +34,7 @@
 {
     unaware()
     {
-        this->counts.routers_known(1);
+        this->counts.set_router_count(1);
         this->pass(0s, 1s);
     }
 
@@ -42,14 +42,15 @@
     {
         for (duration passed = from; passed < to; passed += 50ms)
         {
-            this->counts.heard(make_ask(0, 0), at(passed));
+            this->counts.handle_query(make_ask(0, 0), at(passed));
             this->counts.tick(at(passed));
         }
     }
 
     bool allows(std::uint64_t id, double named, duration when)
     {
-        const auto answer = this->counts.heard(make_ask(id, named), at(when));
+        const auto answer =
+            this->counts.handle_query(make_ask(id, named), at(when));
         return answer.results.at(0).is_allowed;
     }
 
@@ -99,8 +100,8 @@
     settings.router = "r";
     settings.bounds.slack = 110'000; // of organisations
     quota_client client(settings);
-    client.limits_changed({{server_account("s"), limit_of_server(per_second)}});
-    client.accountants_known({"a"}, 10);
+    client.set_limits({{server_account("s"), limit_of_server(per_second)}});
+    client.set_accountants({"a"}, 10);
     int allowed = 0;
     for (duration passed = 0s; passed < 20s; passed += 50ms)
     {
--- a/tests/unit/server_limits/limited_fleet.cpp
+++ b/tests/unit/server_limits/limited_fleet.cpp
@@ -1,6 +1,6 @@
 #include "limited_fleet.hpp"
 
-#include "core/quota/counted_limits.hpp"
+#include "core/quota/global_limits.hpp"
 
 #include <algorithm>
 
@@ -67,12 +67,12 @@
     one.limits = std::make_unique<server_limits>(known);
     quota_client::options asks;
     asks.router = one.name;
-    asks.way = this->settings.way;
+    asks.mode = this->settings.mode;
     asks.seed = this->random() << 20;
     one.client = std::make_unique<quota_client>(asks);
     one.accountant = std::make_unique<quota_accountant>(one.name, asks.bounds);
-    one.client->accountants_known(this->order, this->routers.size());
-    one.accountant->routers_known(this->routers.size());
+    one.client->set_accountants(this->order, this->routers.size());
+    one.accountant->set_router_count(this->routers.size());
     one.draws.clear();
     one.armed = instant::max();
 }
@@ -155,7 +155,7 @@
     this->take_commands(number);
     this->take_draws(number);
     router& one = this->routers[number];
-    if (const auto word = one.limits->take_word(this->time))
+    if (const auto word = one.limits->take_update(this->time))
     {
         for (std::size_t to = 0; to < this->routers.size(); ++to)
         {
@@ -166,7 +166,7 @@
                 to,
                 [this, to, word = *word]
                 {
-                    this->routers[to].limits->heard(word, this->time);
+                    this->routers[to].limits->handle_update(word, this->time);
                     this->flush(to);
                 });
         }
@@ -183,11 +183,11 @@
             {limited_engine, {}}, changed.per_second, this->time);
     if (changes.empty())
         return;
-    counted_limits all;
+    global_limits all;
     for (const server_limit& limit : one.limits->in_force())
         all[server_account(limit.server)] = limit_of_server(limit.per_second);
-    one.accountant->limits_changed(all, this->time);
-    one.client->limits_changed(std::move(all));
+    one.accountant->set_limits(all, this->time);
+    one.client->set_limits(std::move(all));
     one.client->tick(this->time);
 }
 
@@ -234,7 +234,7 @@
         const auto named = this->named_since <= this->time
                                ? std::optional(this->settings.per_second)
                                : std::nullopt;
-        one.limits->answered(limited_server, named, sent, this->time);
+        one.limits->handle_answer(limited_server, named, sent, this->time);
     }
     attempt_result result;
     result.total = this->time - sent;
@@ -270,23 +270,24 @@
     if (to == from)
     {
         router& self = this->routers[from];
-        self.client->heard(
-            self.accountant->heard(message.ask, this->time), this->time);
+        self.client->handle_reply(
+            self.accountant->handle_query(message.query, this->time),
+            this->time);
         this->take_draws(from);
         return;
     }
-    const auto answered = [this, from](const quota_answer& made)
+    const auto answered = [this, from](const quota_reply& made)
     {
-        this->routers[from].client->heard(made, this->time);
+        this->routers[from].client->handle_reply(made, this->time);
         this->flush(from);
     };
     this->carry(
         from,
         to,
-        [this, from, to, ask = message.ask, answered]
+        [this, from, to, ask = message.query, answered]
         {
-            const quota_answer made =
-                this->routers[to].accountant->heard(ask, this->time);
+            const quota_reply made =
+                this->routers[to].accountant->handle_query(ask, this->time);
             this->carry(
                 to,
                 from,
@@ -319,7 +320,7 @@
         {
             router& later = this->routers[number];
             if (later.traffic->permit_withdrawn(place))
-                later.client->give_back(
+                later.client->return_tokens(
                     server_account(limited_server), 1, this->time);
         });
     this->take_commands(number);
--- a/tests/unit/server_limits/limited_fleet.hpp
+++ b/tests/unit/server_limits/limited_fleet.hpp
@@ -42,7 +42,7 @@
         duration longest_delay = 3ms;
         duration service = 150ms; ///< of a request, at most twice that
         duration patience = 3s;   ///< of a caller
-        quota_way way = quota_way::accountant;
+        quota_mode mode = quota_mode::accountant;
         std::uint64_t seed = 1;
     };
 
--- a/tests/unit/serving/serving_fixture.hpp
+++ b/tests/unit/serving/serving_fixture.hpp
@@ -21,7 +21,7 @@
     engine_profile& engine = llm.engine.emplace();
     engine.slots = 24;
     engine.memory_mb = 200;
-    engine.adapter_places = 2;
+    engine.adapter_slots = 2;
     model_profile one;
     one.name = "m1";
     one.memory_mb = 70;
--- a/tests/unit/serving/test_organisation_changes.cpp
+++ b/tests/unit/serving/test_organisation_changes.cpp
@@ -33,7 +33,7 @@
     cr_assert_eq(changes.keys_added, 1);
     cr_assert_eq(changes.keys_dropped, 1);
     cr_assert_eq(changes.limits_changed, 1);
-    cr_assert_eq(changes.dropped, fingerprint_of(digest_of("a")));
+    cr_assert_eq(changes.dropped_fingerprints, fingerprint_of(digest_of("a")));
     cr_assert(changes.any());
     cr_assert_not(compare_organisations(&now, now).any());
 }
@@ -56,5 +56,5 @@
     const organisation_changes changes =
         compare_organisations(&before, deployment());
     cr_assert_eq(changes.keys_dropped, 100);
-    cr_assert_lt(changes.dropped.size(), 100);
+    cr_assert_lt(changes.dropped_fingerprints.size(), 100);
 }
--- a/tests/unit/serving/test_route_index.cpp
+++ b/tests/unit/serving/test_route_index.cpp
@@ -83,18 +83,18 @@
 Test(path_route, a_streams_caller_leaves_before_its_time_limit)
 {
     path_route route;
-    route.kind = repetition::streaming;
+    route.kind = request_kind::streaming;
     route.timeout = std::chrono::seconds(13);
     route.objective = std::chrono::milliseconds(2500);
-    route.longest_gap = std::chrono::milliseconds(400);
+    route.max_event_gap = std::chrono::milliseconds(400);
     cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(10));
     route.objective = std::chrono::milliseconds(300);
     cr_assert_eq(route.first_event_timeout(), std::chrono::milliseconds(3200));
-    route.longest_gap = std::chrono::milliseconds(100);
+    route.max_event_gap = std::chrono::milliseconds(100);
     cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(2));
     route.timeout = std::chrono::seconds(1);
     cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
-    route.kind = repetition::idempotent;
+    route.kind = request_kind::idempotent;
     cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
 }
 
@@ -104,14 +104,14 @@
     path_route route;
     route.timeout = std::chrono::seconds(13);
     route.objective = std::chrono::milliseconds(2500);
-    for (const repetition kind :
-         {repetition::idempotent, repetition::non_idempotent})
+    for (const request_kind kind :
+         {request_kind::idempotent, request_kind::non_idempotent})
     {
         route.kind = kind;
-        cr_assert_eq(route.longest_wait(), route.timeout);
+        cr_assert_eq(route.max_queue_time(), route.timeout);
     }
-    route.kind = repetition::streaming;
-    cr_assert_eq(route.longest_wait(), std::chrono::milliseconds(9900));
+    route.kind = request_kind::streaming;
+    cr_assert_eq(route.max_queue_time(), std::chrono::milliseconds(9900));
     route.resumable = true;
-    cr_assert_eq(route.longest_wait(), route.timeout);
+    cr_assert_eq(route.max_queue_time(), route.timeout);
 }
--- a/tests/unit/serving/test_serving_view.cpp
+++ b/tests/unit/serving/test_serving_view.cpp
@@ -174,7 +174,7 @@
     view.entry_read(make_engine("e1", "m1"));
     engine_residency word = told("e1", 7, 1);
     word.resident = {{"m2", {}}};
-    cr_assert(view.residency_heard(word, at(1s)));
+    cr_assert(view.update_residency(word, at(1s)));
     cr_assert_eq(places(view, "m1", at(1s)), 0);
     cr_assert_eq(places(view, "m2", at(1s)), 1);
 }
@@ -185,11 +185,11 @@
     view.entry_read(make_engine("e1", "m1"));
     engine_residency word = told("e1", 7, 5);
     word.resident = {{"m2", {}}};
-    view.residency_heard(word, at(1s));
-    cr_assert_not(view.residency_heard(told("e1", 7, 4), at(1s)));
-    cr_assert_not(view.residency_heard(told("e1", 6, 9), at(1s)));
+    view.update_residency(word, at(1s));
+    cr_assert_not(view.update_residency(told("e1", 7, 4), at(1s)));
+    cr_assert_not(view.update_residency(told("e1", 6, 9), at(1s)));
     cr_assert_eq(places(view, "m2", at(1s)), 1);
-    cr_assert(view.residency_heard(told("e1", 8, 1), at(1s)));
+    cr_assert(view.update_residency(told("e1", 8, 1), at(1s)));
     cr_assert_eq(places(view, "m2", at(1s)), 0);
 }
 
@@ -199,7 +199,7 @@
     view.entry_read(make_engine("e1", "m1"));
     engine_residency word = told("e1", 7, 1);
     word.born_ms = 55;
-    cr_assert_not(view.residency_heard(word, at(1s)));
+    cr_assert_not(view.update_residency(word, at(1s)));
     cr_assert_eq(places(view, "m1", at(1s)), 1);
 }
 
@@ -207,7 +207,7 @@
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    view.residency_heard(told("e1", 7, 1), at(1s));
+    view.update_residency(told("e1", 7, 1), at(1s));
     cr_assert_eq(places(view, "m1", at(2s)), 0);
     cr_assert(view.tick(at(5s + 1ms)));
     cr_assert_eq(places(view, "m1", at(5s + 1ms)), 1);
@@ -220,8 +220,8 @@
     view.entry_read(make_engine("e1", "m2"));
     engine_residency word = told("e1", 7, 1);
     word.resident = {{"m1", {}}};
-    view.residency_heard(word, at(1s));
-    cr_assert(view.contradicted("e1", servable_key("llm", "m1"), at(1s)));
+    view.update_residency(word, at(1s));
+    cr_assert(view.mark_refused("e1", servable_key("llm", "m1"), at(1s)));
     cr_assert_eq(places(view, "m1", at(1s)), 0);
     cr_assert(view.tick(at(1s + 150ms)));
     cr_assert_eq(places(view, "m1", at(1s + 150ms)), 1);
@@ -236,9 +236,9 @@
     engine_residency word = told("e2", 7, 1);
     word.resident = {{"m1", {}}};
     view.entry_read(make_engine("e2", "m2"));
-    view.residency_heard(word, at(1s));
+    view.update_residency(word, at(1s));
     for (const char* engine : {"e1", "e2"})
-        view.contradicted(engine, servable_key("llm", "m1"), at(3s));
+        view.mark_refused(engine, servable_key("llm", "m1"), at(3s));
     view.tick(at(3s + 900ms));
     cr_assert_eq(places(view, "m1", at(3s + 900ms)), 0);
     cr_assert(view.tick(at(4s)));
@@ -249,7 +249,7 @@
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    view.contradicted("e1", servable_key("llm", "m1"), at(1s));
+    view.mark_refused("e1", servable_key("llm", "m1"), at(1s));
     server_entry entry = make_engine("e1", "m1");
     entry.holdings.resident.push_back({"m2", {}});
     view.entry_read(entry);
@@ -260,10 +260,10 @@
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    view.contradicted("e1", servable_key("llm", "m1"), at(1s));
+    view.mark_refused("e1", servable_key("llm", "m1"), at(1s));
     engine_residency word = told("e1", 7, 1);
     word.resident = {{"m1", {"a2"}}};
-    cr_assert(view.residency_heard(word, at(1s + 10ms)));
+    cr_assert(view.update_residency(word, at(1s + 10ms)));
     cr_assert_eq(places(view, "m1", at(1s + 10ms)), 1);
     cr_assert_eq(places(view, "m1/a2", at(1s + 10ms)), 1);
 }
@@ -273,10 +273,10 @@
 {
     serving_view view = make_view();
     server_entry old = make_engine("e1", "m1");
-    old.heard = 100;
+    old.registry_revision = 100;
     server_entry next = make_engine("e2", "m2");
     next.address = old.address;
-    next.heard = 103;
+    next.registry_revision = 103;
     view.entry_read(next);
     cr_assert(view.entry_read(old));
     cr_assert(view.servers().at("e1").superseded);
@@ -293,10 +293,10 @@
 {
     serving_view view = make_view();
     server_entry entry = make_engine("e1", "m1");
-    entry.heard = 20;
+    entry.registry_revision = 20;
     entry.leaving = true;
     view.entry_read(entry);
-    entry.heard = 10;
+    entry.registry_revision = 10;
     entry.leaving = false;
     cr_assert_not(view.entry_read(entry));
     cr_assert(view.servers().at("e1").entry.leaving);
@@ -306,14 +306,14 @@
 {
     serving_view view = make_view();
     server_entry first = make_engine("e1", "m1");
-    first.heard = 100;
+    first.registry_revision = 100;
     server_entry second = make_engine("e2", "m2");
     second.address = first.address;
-    second.heard = 90;
+    second.registry_revision = 90;
     view.entry_read(first);
     view.entry_read(second);
     cr_assert(view.servers().at("e2").superseded);
-    second.heard = 110; // says the same as before
+    second.registry_revision = 110; // says the same as before
     cr_assert(view.entry_read(second));
     cr_assert_not(view.servers().at("e2").superseded);
     cr_assert(view.servers().at("e1").superseded);
@@ -324,8 +324,8 @@
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    cr_assert_eq(*view.unreached("e1", at(1s)), at(1s + 500ms));
-    cr_assert(!view.unreached("e1", at(1s + 10ms)));
+    cr_assert_eq(*view.mark_unreachable("e1", at(1s)), at(1s + 500ms));
+    cr_assert(!view.mark_unreachable("e1", at(1s + 10ms)));
     view.tick(at(1s + 499ms));
     cr_assert_eq(places(view, "m1", at(1s + 499ms)), 0);
     cr_assert(view.tick(at(1s + 500ms)));
@@ -339,12 +339,12 @@
     instant now = at(1s);
     for (const duration expected : {500ms, 1000ms, 2000ms, 4000ms, 4000ms})
     {
-        cr_assert_eq(*view.unreached("e1", now) - now, expected);
+        cr_assert_eq(*view.mark_unreachable("e1", now) - now, expected);
         now += expected;
         view.tick(now);
     }
     now += 10s;
-    cr_assert_eq(*view.unreached("e1", now) - now, 500ms);
+    cr_assert_eq(*view.mark_unreachable("e1", now) - now, 500ms);
 }
 
 /// A plain service has no other place to go to: its requests try their luck.
@@ -352,7 +352,7 @@
 {
     serving_view view = make_view();
     view.entry_read(make_plain("s1"));
-    cr_assert(!view.unreached("s1", at(1s)));
+    cr_assert(!view.mark_unreachable("s1", at(1s)));
     cr_assert_eq(
         table_of(view, at(1s))->find_service("app")->backends.size(), 1);
 }
@@ -373,8 +373,8 @@
 {
     serving_view view = make_view();
     const std::string model = servable_key("llm", "m1");
-    cr_assert(view.outlook_heard(model, at(7s), at(1s)));
-    cr_assert_not(view.outlook_heard(model, at(7s + 20ms), at(1s)));
+    cr_assert(view.update_expected_load(model, at(7s), at(1s)));
+    cr_assert_not(view.update_expected_load(model, at(7s + 20ms), at(1s)));
     cr_assert(*table_of(view, at(1s))->expected_ready(model) == at(7s));
     cr_assert(*table_of(view, at(1s))->expected_ready(model + "/a1") == at(7s));
     cr_assert_not(table_of(view, at(1s))
--- a/tests/unit/swapping/swap_fixture.hpp
+++ b/tests/unit/swapping/swap_fixture.hpp
@@ -31,7 +31,7 @@
         engine.slots = 24;
         engine.memory_mb = 200'000;
         engine.host_memory_mb = 130'000;
-        engine.adapter_places = 2;
+        engine.adapter_slots = 2;
         engine.store_loads_per_second = 15;
         for (std::size_t i = 0; i < models; ++i)
         {
--- a/tests/unit/users_platform/test_decoders.cpp
+++ b/tests/unit/users_platform/test_decoders.cpp
@@ -51,17 +51,17 @@
     const deployment& made = *read.value;
     cr_assert_eq(made.version, 7);
     cr_assert_eq(made.routes.size(), 2);
-    cr_assert(made.routes[0].kind == repetition::streaming);
+    cr_assert(made.routes[0].kind == request_kind::streaming);
     cr_assert(made.routes[0].timeout == 11s);
     cr_assert(made.routes[0].objective == 2500ms);
-    cr_assert(made.routes[0].longest_gap == 400ms);
+    cr_assert(made.routes[0].max_event_gap == 400ms);
     cr_assert_not(made.routes[0].repeatable());
     cr_assert(made.routes[1].repeatable());
     cr_assert_eq(made.routes[1].services.size(), 2);
     cr_assert_eq(made.routes[1].max_attempts, 2);
     const service_profile* llm = made.find_service("llm");
     cr_assert_not_null(llm);
-    cr_assert_eq(llm->engine->adapter_places, 8);
+    cr_assert_eq(llm->engine->adapter_slots, 8);
     cr_assert_eq(llm->engine->models[0].adapters, 56);
     cr_assert(llm->engine->models[0].load_from_disk == 780ms);
     cr_assert_not(made.find_service("app")->engine.has_value());
@@ -108,8 +108,8 @@
         configuration,
         "\"session_affinity\":true",
         "\"allow_anonymous\":true"));
-    cr_assert(read.value->routes[0].keyless);
-    cr_assert_not(read.value->routes[1].keyless);
+    cr_assert(read.value->routes[0].allow_anonymous);
+    cr_assert_not(read.value->routes[1].allow_anonymous);
 }
 
 Test(deployment_decoder, refuses_organisations_that_it_cannot_read)
@@ -135,7 +135,7 @@
 {
     const auto read =
         decode_deployment(with(configuration, "idempotent", "unheard_of"));
-    cr_assert(read.value->routes[1].kind == repetition::non_idempotent);
+    cr_assert(read.value->routes[1].kind == request_kind::non_idempotent);
 }
 
 Test(deployment_decoder, refuses_what_it_cannot_read_whole)
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -251,7 +251,7 @@
             return test.listener.version == 7 && !test.listener.servers.empty();
         });
     cr_assert_eq(test.copies.asked.front(), "10.0.0.9:1");
-    cr_assert_eq(test.listener.servers.front().heard, 2);
+    cr_assert_eq(test.listener.servers.front().registry_revision, 2);
     cr_assert(!test.listener.servers.front().holdings.copies_known);
 }
 
--- a/tests/unit/users_platform/test_directory_words.cpp
+++ b/tests/unit/users_platform/test_directory_words.cpp
@@ -159,7 +159,7 @@
     test.directory.word_heard(word);
     cr_assert_eq(test.listener.read.size(), 1);
     cr_assert_eq(test.listener.read[0].id, "e1");
-    cr_assert_eq(test.listener.read[0].heard, 3);
+    cr_assert_eq(test.listener.read[0].registry_revision, 3);
     cr_assert(!test.listener.read[0].holdings.copies_known);
     cr_assert_eq(test.listener.removed.size(), 1);
 }
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -41,24 +41,24 @@
         this->directories.push_back(word);
     }
 
-    void quota_ask_heard(const quota_ask& ask, std::string_view) override
+    void quota_ask_heard(const quota_query& ask, std::string_view) override
     {
         this->asks.push_back(ask);
     }
 
-    void quota_answer_heard(const quota_answer& answer) override
+    void quota_answer_heard(const quota_reply& answer) override
     {
         this->answers.push_back(answer);
     }
 
-    void server_limit_word_heard(const server_limit_word& word) override
+    void server_limit_word_heard(const server_limit_update& word) override
     {
         this->limits.push_back(word);
     }
 
-    std::vector<server_limit_word> limits;
-    std::vector<quota_ask> asks;
-    std::vector<quota_answer> answers;
+    std::vector<server_limit_update> limits;
+    std::vector<quota_query> asks;
+    std::vector<quota_reply> answers;
     std::vector<router_word> routers;
     std::vector<directory_word> directories;
     std::vector<owner_word> owners;
@@ -148,18 +148,18 @@
     kept_words kept;
     receiver.start(kept);
     constexpr std::size_t servers = 50;
-    server_limit_word word{"r1", {}};
+    server_limit_update word{"r1", {}};
     for (std::size_t i = 0; i < servers; ++i)
         word.limits.push_back({"i-" + std::to_string(i), 1.5, 700});
     const std::string to[] = {text_of(place)};
     test.sender.send(to, word);
-    std::vector<told_server_limit> arrived;
+    std::vector<server_limit_entry> arrived;
     run_until(
         test.loop,
         [&]
         {
             arrived.clear();
-            for (const server_limit_word& part : kept.limits)
+            for (const server_limit_update& part : kept.limits)
                 arrived.insert(
                     arrived.end(), part.limits.begin(), part.limits.end());
             return arrived.size() == servers;
@@ -292,14 +292,14 @@
     gateway_peers receiver(test.loop, place, test.events, test.meter);
     kept_words kept;
     receiver.start(kept);
-    quota_ask ask;
+    quota_query ask;
     ask.router = "r1";
-    ask.heard_ago_us = 5;
-    ask.counts_in_us = 7;
+    ask.last_reply_age_us = 5;
+    ask.counting_delay_us = 7;
     ask.draws = {{1ULL << 40, "o1", 1540, 100'000}};
     ask.returns = {{"o2", 200}};
     test.sender.send(text_of(place), ask);
-    test.sender.send(text_of(place), quota_answer{"r2", {{9, true, 20}}});
+    test.sender.send(text_of(place), quota_reply{"r2", {{9, true, 20}}});
     run_until(
         test.loop,
         [&]
@@ -307,8 +307,8 @@
             return !kept.asks.empty() && !kept.answers.empty();
         });
     cr_assert_eq(kept.asks[0].router, "r1");
-    cr_assert_eq(kept.asks[0].heard_ago_us, 5);
-    cr_assert_eq(kept.asks[0].counts_in_us, 7);
+    cr_assert_eq(kept.asks[0].last_reply_age_us, 5);
+    cr_assert_eq(kept.asks[0].counting_delay_us, 7);
     cr_assert_eq(kept.asks[0].draws[0].id, 1ULL << 40);
     cr_assert_eq(kept.asks[0].draws[0].amount, 1540);
     cr_assert_eq(kept.asks[0].returns[0].organisation, "o2");
