--- a/bench/server_limits/bench_server_limits.cpp
+++ b/bench/server_limits/bench_server_limits.cpp
@@ -1,5 +1,6 @@
-// How two ways keep the rate limit of one server over many routers: the most
-// requests in a window, what of the limit is used, what is refused, and words.
+// Compares two ways to enforce the rate limit of one server across many
+// routers. Prints the most requests in a window, the used fraction of the
+// limit, the number of refused requests and the message rate.
 
 #include "limited_fleet.hpp"
 
@@ -16,7 +17,7 @@
 using namespace roseworks::testing;
 
 constexpr double per_second = 1.9;
-constexpr double usual = 7; ///< requests a second to each engine
+constexpr double load_per_engine = 7; ///< requests per second to each engine
 constexpr duration warm_up = 3s;
 constexpr duration length = 20s;
 
@@ -24,28 +25,29 @@
 {
     const char* name;
     std::size_t engines;
-    double per_second;   ///< callers' requests
-    std::size_t at_last; ///< at so many routers; 0: at all
+    double per_second;   ///< rate of callers' requests
+    std::size_t at_last; ///< number of routers with callers; 0: all
 };
 
-void measure(quota_mode mode, const load_case& what, std::size_t routers)
+void measure(quota_mode mode, const load_case& config, std::size_t routers)
 {
     limited_fleet::options chosen;
     chosen.routers = routers;
-    chosen.engines = what.engines;
+    chosen.engines = config.engines;
     chosen.per_second = per_second;
     chosen.mode = mode;
     limited_fleet fleet(chosen);
-    fleet.send(warm_up, what.per_second, what.at_last);
-    fleet.name_limit(true);
-    const std::size_t words_before = fleet.words();
-    fleet.send(length, what.per_second, what.at_last);
+    fleet.send(warm_up, config.per_second, config.at_last);
+    fleet.announce_limit(true);
+    const std::size_t messages_before = fleet.message_count();
+    fleet.send(length, config.per_second, config.at_last);
     const double seconds = std::chrono::duration<double>(length).count();
     const std::string name =
-        std::string(what.name) +
+        std::string(config.name) +
         (mode == quota_mode::accountant ? ".accountant." : ".own_share.") +
         std::to_string(routers);
-    const auto words = static_cast<double>(fleet.words() - words_before);
+    const auto message_count =
+        static_cast<double>(fleet.message_count() - messages_before);
     std::cout << name << ".worst_window=" << fleet.worst_window()
               << " requests\n"
               << name << ".allowed=" << fleet.allowed() << " requests\n"
@@ -54,8 +56,8 @@
                      (per_second * seconds)
               << " share\n"
               << name << ".refused=" << fleet.refused() << " requests\n"
-              << name
-              << ".words=" << words / static_cast<double>(routers) / seconds
+              << name << ".words="
+              << message_count / static_cast<double>(routers) / seconds
               << " a VM and second\n";
 }
 
@@ -64,15 +66,15 @@
 int main()
 {
     const load_case cases[] = {
-        {"one_of_three", 3, 3 * usual, 0},
+        {"one_of_three", 3, 3 * load_per_engine, 0},
         {"only_engine", 1, 4, 0},
         {"only_engine_few_routers", 1, 4, 3}};
-    for (const load_case& what : cases)
+    for (const load_case& config : cases)
     {
         for (const std::size_t routers : {7, 65, 300})
         {
-            measure(quota_mode::accountant, what, routers);
-            measure(quota_mode::local_share, what, routers);
+            measure(quota_mode::accountant, config, routers);
+            measure(quota_mode::local_share, config, routers);
         }
     }
 }
--- a/bench/serving/bench_serving.cpp
+++ b/bench/serving/bench_serving.cpp
@@ -1,5 +1,5 @@
-// A view of a registry of a size: listing it whole, hearing of one more server,
-// and making a table of it.
+// Measures a serving view for registries of several sizes: a complete listing,
+// the addition of one server, and the construction of a routing table.
 
 #include "core/serving/serving_view.hpp"
 
@@ -34,15 +34,17 @@
 
 server_entry make_entry(std::size_t number)
 {
-    constexpr std::size_t held = 3;
+    constexpr std::size_t models_per_engine = 3;
     server_entry made;
     made.id = "engine-" + std::to_string(number);
     made.service = "llm";
     made.address = "10.0.0.1:" + std::to_string(number);
     made.data_centre = "a";
-    for (std::size_t i = 0; i < held; ++i)
+    for (std::size_t i = 0; i < models_per_engine; ++i)
         made.holdings.resident.push_back(
-            {"model-" + std::to_string((held * number + i) % models), {}});
+            {"model-" +
+                 std::to_string((models_per_engine * number + i) % models),
+             {}});
     return made;
 }
 
@@ -52,9 +54,9 @@
     const auto start = std::chrono::steady_clock::now();
     for (std::size_t i = 0; i < times; ++i)
         step(i);
-    const std::chrono::duration<double, std::micro> passed =
+    const std::chrono::duration<double, std::micro> elapsed =
         std::chrono::steady_clock::now() - start;
-    std::cout << name << '=' << passed.count() / static_cast<double>(times)
+    std::cout << name << '=' << elapsed.count() / static_cast<double>(times)
               << " us\n";
 }
 
--- a/src/core/quota/global_limits.cpp
+++ b/src/core/quota/global_limits.cpp
@@ -6,8 +6,8 @@
 namespace
 {
 
-/// Can't clash with an organisation: names don't begin with a control
-/// character.
+/// Names of organisations don't begin with a control character, so they can't
+/// clash with this.
 constexpr std::string_view server_account_prefix = "\x01server ";
 
 } // namespace
--- a/src/core/quota/quota_client.hpp
+++ b/src/core/quota/quota_client.hpp
@@ -72,8 +72,7 @@
 
     void set_limits(global_limits all);
 
-    /// @param names Routers that may act as accountant, the preferred one
-    /// first;
+    /// @param names Routers that may act as accountant, in order of preference;
     ///              the same list on each router.
     /// @param known Number of all routers.
     void set_accountants(std::vector<std::string> names, std::size_t known);
@@ -112,8 +111,8 @@
         quota_draw draw;
         instant created_at;
         instant last_sent_at;
-        std::optional<quota_result>
-            provisional_refusal; ///< from an accountant that lacks data yet
+        /// From an accountant that lacks data yet.
+        std::optional<quota_result> provisional_refusal;
     };
 
     struct accountant_contact
@@ -121,12 +120,12 @@
         std::string name;
         bool is_unresponsive = false;
         instant contact_since; ///< start of the uninterrupted contact
-        instant counted_from =
-            instant::max(); ///< it counts this router from then on
-        std::optional<instant> last_reply_at; ///< time of its last answer
-        std::optional<instant>
-            unanswered_since;    ///< time of the first unanswered message
-        instant last_message_at; ///< time of the last message to it
+        /// It counts this router from then on.
+        instant counted_from = instant::max();
+        std::optional<instant> last_reply_at;
+        /// Time of the first message without an answer.
+        std::optional<instant> unanswered_since;
+        instant last_message_at;
     };
 
     using decision_method =
@@ -163,16 +162,16 @@
     global_limits limits;
     std::unordered_map<std::string, token_bucket> local_buckets; ///< by account
     std::vector<accountant_contact> contacts;
-    std::size_t current_index =
-        0; ///< index in `contacts`; its size when none answers
+    /// Index in `contacts`; the size of `contacts` when none answers.
+    std::size_t current_index = 0;
     std::size_t router_count = 0; ///< 0: not known yet
     std::map<std::uint64_t, pending_draw> waiting;
     std::vector<quota_return> returns;
     std::vector<quota_message> messages;
     std::vector<quota_decision> decisions;
     std::uint64_t last_id;
-    std::optional<instant>
-        last_overlap; ///< when two accountants last counted this router
+    /// When two accountants last counted this router at once.
+    std::optional<instant> last_overlap;
     instant last_local_refill;
     instant last_tick;
     instant next_due;
--- a/src/core/serving/deployment.hpp
+++ b/src/core/serving/deployment.hpp
@@ -57,8 +57,7 @@
     duration first_event_timeout() const;
 
     /// @return The longest time that a request may wait before it is sent. It
-    /// is
-    ///         shorter than the caller's wait, which began earlier. For a
+    ///         is shorter than the caller's wait, which began earlier. For a
     ///         stream that can resume, the caller's wait restarts with each
     ///         event, so only its time limit counts.
     duration max_queue_time() const;
--- a/src/core/serving/serving_view.hpp
+++ b/src/core/serving/serving_view.hpp
@@ -95,8 +95,7 @@
     bool entry_read(server_entry entry);
     bool entry_removed(std::string_view id, instant now);
 
-    /// Processes a complete registry listing: servers that aren't in it are
-    /// gone.
+    /// Processes a complete registry listing. Servers missing from it are gone.
     bool entries_listed(std::vector<server_entry> all, instant now);
 
     /// The registry is available again after an outage.
--- a/tests/unit/quota/quota_fleet.cpp
+++ b/tests/unit/quota/quota_fleet.cpp
@@ -15,16 +15,16 @@
 quota_fleet::quota_fleet(options chosen)
     : settings(chosen)
     , random(chosen.seed)
-    , filled(this->time)
+    , ideal_refilled_at(this->time)
 {
     for (std::size_t i = 0; i < this->settings.routers; ++i)
         this->routers.emplace_back().name = "r" + std::to_string(i);
-    for (std::size_t i = 0; i < this->settings.strong; ++i)
-        this->order.push_back(this->routers[i].name);
-    for (router& one : this->routers)
+    for (std::size_t i = 0; i < this->settings.accountant_candidates; ++i)
+        this->candidate_names.push_back(this->routers[i].name);
+    for (router& target : this->routers)
     {
-        this->start(one);
-        this->tell_routers(one);
+        this->start(target);
+        this->set_routers(target);
     }
     for (std::size_t i = 0; i < this->routers.size(); ++i)
         this->flush(i);
@@ -32,57 +32,58 @@
 
 global_limits quota_fleet::limits() const
 {
-    deployment made;
-    organisation one;
-    one.name = organisation_name;
-    one.counts_tokens = true;
+    deployment configuration;
+    organisation entry;
+    entry.name = organisation_name;
+    entry.counts_tokens = true;
     if (this->settings.limit.per_second > 0)
-        one.limit = this->settings.limit;
-    made.organisations = {one};
+        entry.limit = this->settings.limit;
+    configuration.organisations = {entry};
     quota_bounds bounds;
     bounds.slack = this->settings.slack;
-    return limits_of(made, bounds);
+    return limits_of(configuration, bounds);
 }
 
-void quota_fleet::start(router& one)
+void quota_fleet::start(router& target)
 {
-    ++one.run;
-    quota_client::options made;
-    made.router = one.name;
-    made.bounds.slack = this->settings.slack;
-    made.mode = this->settings.mode;
-    made.seed = this->random() << 20;
-    one.client = std::make_unique<quota_client>(made);
-    one.accountant = std::make_unique<quota_accountant>(one.name, made.bounds);
-    one.armed = instant::max();
-    one.client->set_limits(this->limits());
-    one.accountant->set_limits(this->limits(), this->time);
+    ++target.run;
+    quota_client::options client_options;
+    client_options.router = target.name;
+    client_options.bounds.slack = this->settings.slack;
+    client_options.mode = this->settings.mode;
+    client_options.seed = this->random() << 20;
+    target.client = std::make_unique<quota_client>(client_options);
+    target.accountant =
+        std::make_unique<quota_accountant>(target.name, client_options.bounds);
+    target.scheduled_tick = instant::max();
+    target.client->set_limits(this->limits());
+    target.accountant->set_limits(this->limits(), this->time);
 }
 
-void quota_fleet::tell_routers(router& one)
+void quota_fleet::set_routers(router& target)
 {
-    one.client->set_accountants(this->order, this->routers.size());
-    one.accountant->set_router_count(this->routers.size());
+    target.client->set_accountants(this->candidate_names, this->routers.size());
+    target.accountant->set_router_count(this->routers.size());
 }
 
-void quota_fleet::at(instant when, std::function<void()> action)
+void quota_fleet::schedule(instant when, std::function<void()> action)
 {
     this->events.push({when, ++this->last_number, std::move(action)});
 }
 
-void quota_fleet::on(
+void quota_fleet::schedule_on(
     std::size_t number, instant when, std::function<void()> action)
 {
     const std::uint64_t run = this->routers[number].run;
-    this->at(
+    this->schedule(
         when,
         [this, number, run, action = std::move(action)]
         {
-            const router& one = this->routers[number];
-            if (one.run != run)
+            const router& target = this->routers[number];
+            if (target.run != run)
                 return;
-            if (one.frozen_until > this->time)
-                this->on(number, one.frozen_until, action);
+            if (target.frozen_until > this->time)
+                this->schedule_on(number, target.frozen_until, action);
             else
                 action();
         });
@@ -100,7 +101,7 @@
     this->time = when;
 }
 
-void quota_fleet::pass(duration length)
+void quota_fleet::advance(duration length)
 {
     this->run_until(this->time + length);
 }
@@ -109,7 +110,7 @@
     duration length,
     double tokens_per_second,
     double amount,
-    duration patience,
+    duration max_wait,
     std::vector<double> weights)
 {
     if (weights.empty())
@@ -126,30 +127,32 @@
     for (instant when = this->time + next(); when < end; when += next())
     {
         const std::size_t router = place(this->random);
-        this->at(
+        this->schedule(
             when,
-            [this, amount, patience, router]
+            [this, amount, max_wait, router]
             {
-                this->arrive(amount, patience, router);
+                this->handle_request(amount, max_wait, router);
             });
     }
     this->run_until(end);
 }
 
-void quota_fleet::arrive(double amount, duration patience, std::size_t number)
+void quota_fleet::handle_request(
+    double amount, duration max_wait, std::size_t number)
 {
-    this->perfect.refill(this->time - this->filled, this->settings.limit);
-    this->filled = this->time;
-    if (this->perfect.take(amount, duration::zero(), this->settings.limit))
-        this->owed += amount;
-    this->on(
+    this->ideal_bucket.refill(
+        this->time - this->ideal_refilled_at, this->settings.limit);
+    this->ideal_refilled_at = this->time;
+    if (this->ideal_bucket.take(amount, duration::zero(), this->settings.limit))
+        this->ideal_served += amount;
+    this->schedule_on(
         number,
         this->time,
-        [this, number, amount, patience]
+        [this, number, amount, max_wait]
         {
             const std::uint64_t id = this->routers[number].client->draw(
-                organisation_name, amount, patience, this->time);
-            this->open[id] = amount;
+                organisation_name, amount, max_wait, this->time);
+            this->open_draws[id] = amount;
             this->flush(number);
         });
 }
@@ -158,28 +161,28 @@
 {
     quota_client& client = *this->routers[number].client;
     for (const quota_message& message : client.take_messages())
-        this->ask(number, message);
-    for (const quota_decision& made : client.take_decisions())
-        this->decide(number, made);
-    this->arm(number);
+        this->send_query(number, message);
+    for (const quota_decision& decision : client.take_decisions())
+        this->apply_decision(number, decision);
+    this->schedule_tick(number);
 }
 
-void quota_fleet::ask(std::size_t from, const quota_message& message)
+void quota_fleet::send_query(std::size_t from, const quota_message& message)
 {
-    const std::size_t to = this->number_of(message.to);
+    const std::size_t to = this->index_of(message.to);
     const auto answered = [this, from](const quota_reply& answer)
     {
         this->routers[from].client->handle_reply(answer, this->time);
         this->flush(from);
     };
-    this->carry(
+    this->deliver(
         from,
         to,
-        [this, from, to, ask = message.query, answered]
+        [this, from, to, query = message.query, answered]
         {
             const quota_reply answer =
-                this->routers[to].accountant->handle_query(ask, this->time);
-            this->carry(
+                this->routers[to].accountant->handle_query(query, this->time);
+            this->deliver(
                 to,
                 from,
                 [answered, answer]
@@ -189,51 +192,52 @@
         });
 }
 
-void quota_fleet::decide(std::size_t number, const quota_decision& made)
+void quota_fleet::apply_decision(
+    std::size_t number, const quota_decision& decision)
 {
-    const auto found = this->open.find(made.id);
-    if (found == this->open.end())
+    const auto found = this->open_draws.find(decision.id);
+    if (found == this->open_draws.end())
         return;
     const double amount = found->second;
-    this->open.erase(found);
-    if (!made.is_allowed)
+    this->open_draws.erase(found);
+    if (!decision.is_allowed)
         return;
     this->served += amount;
-    this->on(
+    this->schedule_on(
         number,
-        this->time + made.wait,
+        this->time + decision.wait,
         [this, amount]
         {
             this->uses.push_back({this->time, amount});
         });
 }
 
-void quota_fleet::arm(std::size_t number)
+void quota_fleet::schedule_tick(std::size_t number)
 {
-    router& one = this->routers[number];
-    const instant due = std::max(one.client->next_tick(), this->time);
-    if (one.armed <= due)
+    router& target = this->routers[number];
+    const instant due = std::max(target.client->next_tick(), this->time);
+    if (target.scheduled_tick <= due)
         return;
-    one.armed = due;
-    this->on(
+    target.scheduled_tick = due;
+    this->schedule_on(
         number,
         due,
         [this, number, due]
         {
-            router& late = this->routers[number];
-            if (late.armed != due)
+            router& current = this->routers[number];
+            if (current.scheduled_tick != due)
                 return;
-            late.armed = instant::max();
-            late.accountant->tick(this->time);
-            late.client->tick(this->time);
+            current.scheduled_tick = instant::max();
+            current.accountant->tick(this->time);
+            current.client->tick(this->time);
             this->flush(number);
         });
 }
 
-void quota_fleet::carry(
+void quota_fleet::deliver(
     std::size_t from, std::size_t to, std::function<void()> action)
 {
-    ++this->words_sent;
+    ++this->messages_sent;
     if (!this->reaches(from, to))
         return;
     std::uniform_real_distribution<double> chance(0, 1);
@@ -243,14 +247,15 @@
         this->settings.shortest_delay.count(),
         this->settings.longest_delay.count());
     for (int i = 0; i < copies; ++i)
-        this->on(to, this->time + duration(delay(this->random)), action);
+        this->schedule_on(
+            to, this->time + duration(delay(this->random)), action);
 }
 
 void quota_fleet::restart(std::size_t number)
 {
-    router& one = this->routers[number];
-    this->start(one);
-    this->tell_routers(one);
+    router& target = this->routers[number];
+    this->start(target);
+    this->set_routers(target);
     this->flush(number);
 }
 
@@ -264,12 +269,12 @@
     const std::size_t before = this->routers.size();
     for (std::size_t i = 0; i < count; ++i)
     {
-        router& one = this->routers.emplace_back();
-        one.name = "r" + std::to_string(before + i);
-        this->start(one);
+        router& target = this->routers.emplace_back();
+        target.name = "r" + std::to_string(before + i);
+        this->start(target);
     }
-    for (router& one : this->routers)
-        this->tell_routers(one);
+    for (router& target : this->routers)
+        this->set_routers(target);
     for (std::size_t i = before; i < this->routers.size(); ++i)
         this->flush(i);
 }
@@ -277,16 +282,16 @@
 void quota_fleet::set_limit(usage_limit limit)
 {
     this->settings.limit = limit;
-    for (router& one : this->routers)
+    for (router& target : this->routers)
     {
-        one.client->set_limits(this->limits());
-        one.accountant->set_limits(this->limits(), this->time);
+        target.client->set_limits(this->limits());
+        target.accountant->set_limits(this->limits(), this->time);
     }
 }
 
-void quota_fleet::forget()
+void quota_fleet::reset_counters()
 {
-    this->owed = 0;
+    this->ideal_served = 0;
     this->served = 0;
 }
 
@@ -298,10 +303,10 @@
     double sum = 0;
     double worst = 0;
     std::size_t first = 0;
-    for (const use& one : all)
+    for (const use& entry : all)
     {
-        sum += one.amount;
-        while (all[first].when + window < one.when)
+        sum += entry.amount;
+        while (all[first].when + window < entry.when)
             sum -= all[first++].amount;
         worst = std::max(worst, sum);
     }
@@ -317,7 +322,7 @@
            this->settings.slack;
 }
 
-std::size_t quota_fleet::number_of(const std::string& name) const
+std::size_t quota_fleet::index_of(const std::string& name) const
 {
     const auto found = std::ranges::find(this->routers, name, &router::name);
     return static_cast<std::size_t>(found - this->routers.begin());
--- a/tests/unit/quota/quota_fleet.hpp
+++ b/tests/unit/quota/quota_fleet.hpp
@@ -19,20 +19,22 @@
 
 using namespace std::chrono_literals;
 
-/** Many routers in virtual time, which keep one organisation's limit over a
-    network that loses, delays, repeats and reorders. All of it by one seed. */
+/** Simulates many routers that enforce one organisation's limit. The simulated
+    network loses, delays, duplicates and reorders messages. It runs in virtual
+    time, and one seed determines the whole run. */
 class quota_fleet
 {
 public:
     struct options
     {
         std::size_t routers = 300;
-        std::size_t strong = 6; ///< the first ones: they may count
+        /// The first routers; only they may be accountants.
+        std::size_t accountant_candidates = 6;
         usage_limit limit{29'000, 29'000};
         double slack = 110'000;
         quota_mode mode = quota_mode::accountant;
-        double loss = 0;      ///< of words
-        double duplicate = 0; ///< of words
+        double loss = 0;      ///< probability per message
+        double duplicate = 0; ///< probability per message
         duration shortest_delay = 500us;
         duration longest_delay = 3ms;
         std::uint64_t seed = 1;
@@ -40,32 +42,32 @@
 
     explicit quota_fleet(options settings);
 
-    /// Whether a word from one router reaches another now.
+    /// Whether a message from one router reaches another now.
     std::function<bool(std::size_t from, std::size_t to)> reaches =
         [](std::size_t, std::size_t)
     {
         return true;
     };
 
-    /// Runs on for so long, without callers.
-    void pass(duration length);
+    /// Advances the time without requests.
+    void advance(duration length);
 
-    /// Requests of a size, so many tokens a second, at routers drawn by their
-    /// weights (empty: alike).
+    /// Sends requests of `amount` tokens each at the given total rate, to
+    /// random routers. Without weights, all routers are equally likely.
     void send(
         duration length,
         double tokens_per_second,
         double amount,
-        duration patience,
+        duration max_wait,
         std::vector<double> weights = {});
 
-    /// The process ends and starts anew with nothing known.
+    /// Restarts a router, which loses its state.
     void restart(std::size_t router);
 
-    /// It stands still for so long.
+    /// Suspends a router for a time.
     void freeze(std::size_t router, duration length);
 
-    /// More routers, known to all at once.
+    /// Adds routers, known to all routers at once.
     void add(std::size_t count);
 
     void set_limit(usage_limit limit);
@@ -73,22 +75,22 @@
     /// @return The most tokens used within any window.
     double worst_window() const;
 
-    /// @return What may be used in a window.
+    /// @return The most tokens that may be used within a window.
     double allowed() const;
 
-    /// @return Of what a perfect count would have let through since the last
-    ///         `forget`, the part that ran.
+    /// @return Served tokens, as a fraction of those that an ideal central
+    ///         bucket would have allowed since the last `reset_counters`.
     double served_share() const
     {
-        return this->served / this->owed;
+        return this->served / this->ideal_served;
     }
 
-    /// Counts anew what is owed and served; the uses stay.
-    void forget();
+    /// Resets the counters of `served_share`; the recorded uses stay.
+    void reset_counters();
 
-    std::size_t words() const
+    std::size_t message_count() const
     {
-        return this->words_sent;
+        return this->messages_sent;
     }
 
     instant now() const
@@ -104,7 +106,7 @@
         std::unique_ptr<quota_accountant> accountant;
         std::uint64_t run = 0;
         instant frozen_until;
-        instant armed = instant::max();
+        instant scheduled_tick = instant::max();
     };
 
     struct event
@@ -126,34 +128,37 @@
         double amount;
     };
 
-    void start(router& one);
-    void tell_routers(router& one);
-    void at(instant when, std::function<void()> action);
-    /// An action of one run of a router; later while it stands still.
-    void on(std::size_t router, instant when, std::function<void()> action);
+    void start(router& target);
+    void set_routers(router& target);
+    void schedule(instant when, std::function<void()> action);
+    /// Schedules an action on a router. It is delayed while the router is
+    /// suspended, and dropped when the router was restarted.
+    void
+    schedule_on(std::size_t router, instant when, std::function<void()> action);
     void run_until(instant when);
     void flush(std::size_t router);
-    void arm(std::size_t router);
-    void carry(std::size_t from, std::size_t to, std::function<void()> action);
-    void ask(std::size_t from, const quota_message& message);
-    void decide(std::size_t router, const quota_decision& made);
-    void arrive(double amount, duration patience, std::size_t router);
-    std::size_t number_of(const std::string& name) const;
+    void schedule_tick(std::size_t router);
+    void
+    deliver(std::size_t from, std::size_t to, std::function<void()> action);
+    void send_query(std::size_t from, const quota_message& message);
+    void apply_decision(std::size_t router, const quota_decision& decision);
+    void handle_request(double amount, duration max_wait, std::size_t router);
+    std::size_t index_of(const std::string& name) const;
     global_limits limits() const;
 
     options settings;
     instant time = instant(1000s);
     std::mt19937_64 random;
     std::vector<router> routers;
-    std::vector<std::string> order; ///< of those that may count
+    std::vector<std::string> candidate_names; ///< of accountants
     std::priority_queue<event, std::vector<event>, std::greater<>> events;
-    std::unordered_map<std::uint64_t, double> open; ///< amounts by draw
+    std::unordered_map<std::uint64_t, double> open_draws; ///< amounts by id
     std::vector<use> uses;
-    token_bucket perfect;
-    instant filled;
-    double owed = 0;
+    token_bucket ideal_bucket;
+    instant ideal_refilled_at;
+    double ideal_served = 0;
     double served = 0;
-    std::size_t words_sent = 0;
+    std::size_t messages_sent = 0;
     std::uint64_t last_number = 0;
 };
 
--- a/tests/unit/quota/test_quota_accountant.cpp
+++ b/tests/unit/quota/test_quota_accountant.cpp
@@ -17,171 +17,178 @@
 
 global_limits make_limits(std::optional<usage_limit> limit)
 {
-    deployment made;
-    organisation one;
-    one.name = "o1";
-    one.limit = limit;
-    made.organisations = {one};
-    return limits_of(made, quota_bounds());
+    deployment configuration;
+    organisation entry;
+    entry.name = "o1";
+    entry.limit = limit;
+    configuration.organisations = {entry};
+    return limits_of(configuration, quota_bounds());
 }
 
-quota_query make_ask(const std::string& router, std::uint64_t id = 0)
+quota_query make_query(const std::string& router, std::uint64_t id = 0)
 {
-    quota_query made;
-    made.router = router;
-    made.last_reply_age_us = 0;
-    made.counting_delay_us = 0;
+    quota_query query;
+    query.router = router;
+    query.last_reply_age_us = 0;
+    query.counting_delay_us = 0;
     if (id != 0)
-        made.draws = {{id, "o1", 300, 0}};
-    return made;
+        query.draws = {{id, "o1", 300, 0}};
+    return query;
 }
 
-/// Heard by two of four routers; its buckets are as full as they get.
-struct half_heard
+/// An accountant that two of four routers report to, with full buckets.
+struct half_of_routers
 {
-    half_heard()
+    half_of_routers()
     {
-        this->counts.set_limits(make_limits(usage_limit{1000, 1000}), at(0s));
-        this->counts.set_router_count(4);
+        this->accountant.set_limits(
+            make_limits(usage_limit{1000, 1000}), at(0s));
+        this->accountant.set_router_count(4);
         for (duration passed = 0s; passed < 5s; passed += 100ms)
-            this->hear(passed);
+            this->report(passed);
     }
 
-    void hear(duration passed)
+    void report(duration passed)
     {
-        this->counts.handle_query(make_ask("r1"), at(passed));
-        this->counts.handle_query(make_ask("r2"), at(passed));
-        this->counts.tick(at(passed));
+        this->accountant.handle_query(make_query("r1"), at(passed));
+        this->accountant.handle_query(make_query("r2"), at(passed));
+        this->accountant.tick(at(passed));
     }
 
-    quota_accountant counts{"a", quota_bounds()};
+    quota_accountant accountant{"a", quota_bounds()};
 };
 
 } // namespace
 
-Test(quota_accountant, hands_out_the_part_of_the_routers_that_it_hears)
+Test(quota_accountant, grants_the_share_of_the_routers_that_report_to_it)
 {
-    half_heard test;
-    cr_assert_float_eq(test.counts.share(), 0.5, 1e-9);
-    const auto& one = test.counts.accounts().at("o1");
-    cr_assert_float_eq(one.bucket.level(), 500, 1e-6);
+    half_of_routers test;
+    cr_assert_float_eq(test.accountant.share(), 0.5, 1e-9);
+    const auto& account = test.accountant.accounts().at("o1");
+    cr_assert_float_eq(account.bucket.level(), 500, 1e-6);
 }
 
-Test(quota_accountant, routers_that_it_hears_no_more_take_their_part_along)
+Test(quota_accountant, routers_that_stop_reporting_take_their_share_along)
 {
-    half_heard test;
-    test.counts.tick(at(7s));
-    cr_assert_eq(test.counts.share(), 0);
-    cr_assert_eq(test.counts.accounts().at("o1").bucket.level(), 0);
+    half_of_routers test;
+    test.accountant.tick(at(7s));
+    cr_assert_eq(test.accountant.share(), 0);
+    cr_assert_eq(test.accountant.accounts().at("o1").bucket.level(), 0);
 }
 
-Test(quota_accountant, a_router_that_hears_no_answers_does_not_count)
+Test(quota_accountant, a_router_that_receives_no_replies_does_not_count)
 {
-    half_heard test;
-    quota_query deaf = make_ask("r3");
-    deaf.last_reply_age_us = quota_query::never;
-    test.counts.handle_query(deaf, at(5s));
-    test.hear(5100ms);
-    cr_assert_float_eq(test.counts.share(), 0.5, 1e-9);
+    half_of_routers test;
+    quota_query no_replies = make_query("r3");
+    no_replies.last_reply_age_us = quota_query::never;
+    test.accountant.handle_query(no_replies, at(5s));
+    test.report(5100ms);
+    cr_assert_float_eq(test.accountant.share(), 0.5, 1e-9);
 }
 
-Test(quota_accountant, a_router_that_another_one_counts_does_not_count_yet)
-{
-    half_heard test;
-    quota_query moving = make_ask("r3");
-    moving.counting_delay_us = 300'000;
-    test.counts.handle_query(moving, at(5s));
-    test.hear(5100ms);
-    cr_assert_float_eq(test.counts.share(), 0.5, 1e-9);
-    test.hear(5400ms);
-    cr_assert_float_eq(test.counts.share(), 0.75, 1e-9);
+Test(
+    quota_accountant, a_router_counted_by_another_accountant_does_not_count_yet)
+{
+    half_of_routers test;
+    quota_query counted_elsewhere = make_query("r3");
+    counted_elsewhere.counting_delay_us = 300'000;
+    test.accountant.handle_query(counted_elsewhere, at(5s));
+    test.report(5100ms);
+    cr_assert_float_eq(test.accountant.share(), 0.5, 1e-9);
+    test.report(5400ms);
+    cr_assert_float_eq(test.accountant.share(), 0.75, 1e-9);
 }
 
-Test(quota_accountant, a_repeated_draw_is_answered_alike_and_counted_once)
+Test(quota_accountant, a_repeated_draw_gets_the_same_result_and_counts_once)
 {
-    half_heard test;
-    const auto first = test.counts.handle_query(make_ask("r1", 7), at(4950ms));
-    const auto again = test.counts.handle_query(make_ask("r1", 7), at(4960ms));
+    half_of_routers test;
+    const auto first =
+        test.accountant.handle_query(make_query("r1", 7), at(4950ms));
+    const auto again =
+        test.accountant.handle_query(make_query("r1", 7), at(4960ms));
     cr_assert(first.results.at(0).is_allowed);
     cr_assert(again.results.at(0).is_allowed);
-    cr_assert_float_eq(test.counts.accounts().at("o1").used, 300, 1e-9);
+    cr_assert_float_eq(test.accountant.accounts().at("o1").used, 300, 1e-9);
 }
 
-Test(quota_accountant, a_refusal_says_when_there_is_room)
+Test(quota_accountant, a_refusal_tells_when_tokens_are_available)
 {
-    half_heard test;
-    test.counts.handle_query(make_ask("r1", 7), at(4950ms));
+    half_of_routers test;
+    test.accountant.handle_query(make_query("r1", 7), at(4950ms));
     const auto refused =
-        test.counts.handle_query(make_ask("r1", 8), at(4950ms));
+        test.accountant.handle_query(make_query("r1", 8), at(4950ms));
     cr_assert_not(refused.results.at(0).is_allowed);
-    // 200 are left of 500, and 500 come in a second.
+    // 200 of 500 tokens are left, and 500 are added per second.
     cr_assert_eq(refused.results.at(0).wait_us, 200'000);
 }
 
-Test(quota_accountant, what_did_not_run_is_given_back)
+Test(quota_accountant, tokens_of_a_request_that_did_not_run_are_returned)
 {
-    half_heard test;
-    test.counts.handle_query(make_ask("r1", 7), at(4950ms));
-    quota_query back = make_ask("r1");
-    back.returns = {{"o1", 300}};
-    test.counts.handle_query(back, at(4950ms));
-    const auto& one = test.counts.accounts().at("o1");
-    cr_assert_float_eq(one.bucket.level(), 500, 1e-6);
-    cr_assert_float_eq(one.used, 0, 1e-9);
+    half_of_routers test;
+    test.accountant.handle_query(make_query("r1", 7), at(4950ms));
+    quota_query returning = make_query("r1");
+    returning.returns = {{"o1", 300}};
+    test.accountant.handle_query(returning, at(4950ms));
+    const auto& account = test.accountant.accounts().at("o1");
+    cr_assert_float_eq(account.bucket.level(), 500, 1e-6);
+    cr_assert_float_eq(account.used, 0, 1e-9);
 }
 
-Test(quota_accountant, one_without_a_limit_is_allowed_and_not_counted)
+Test(
+    quota_accountant,
+    an_organisation_without_a_limit_is_allowed_and_not_counted)
 {
-    half_heard test;
-    test.counts.set_limits(make_limits({}), at(5s));
-    const auto answer = test.counts.handle_query(make_ask("r1", 7), at(5s));
+    half_of_routers test;
+    test.accountant.set_limits(make_limits({}), at(5s));
+    const auto answer =
+        test.accountant.handle_query(make_query("r1", 7), at(5s));
     cr_assert(answer.results.at(0).is_allowed);
-    cr_assert(test.counts.accounts().empty());
+    cr_assert(test.accountant.accounts().empty());
 }
 
-Test(quota_accountant, a_changed_limit_keeps_what_is_there)
+Test(quota_accountant, a_changed_limit_keeps_the_bucket_level)
 {
-    half_heard test;
-    test.counts.set_limits(make_limits(usage_limit{100, 100}), at(5s));
-    test.hear(5s);
-    test.hear(5100ms);
-    const auto& one = test.counts.accounts().at("o1");
-    cr_assert_float_eq(one.bucket.level(), 50, 1e-6);
+    half_of_routers test;
+    test.accountant.set_limits(make_limits(usage_limit{100, 100}), at(5s));
+    test.report(5s);
+    test.report(5100ms);
+    const auto& account = test.accountant.accounts().at("o1");
+    cr_assert_float_eq(account.bucket.level(), 50, 1e-6);
 }
 
-Test(quota_accountant, a_damaged_word_spoils_nothing)
+Test(quota_accountant, an_invalid_query_does_not_corrupt_the_bucket)
 {
-    half_heard test;
-    const double nonsense[] = {
+    half_of_routers test;
+    const double invalid_amounts[] = {
         std::numeric_limits<double>::quiet_NaN(),
         std::numeric_limits<double>::infinity(),
         -1e9};
     std::uint64_t id = 100;
-    for (const double amount : nonsense)
+    for (const double amount : invalid_amounts)
     {
-        quota_query ask = make_ask("r1");
-        ask.draws = {{++id, "o1", amount, -5}};
-        ask.returns = {{"o1", amount}};
-        const auto answer = test.counts.handle_query(ask, at(4950ms));
+        quota_query query = make_query("r1");
+        query.draws = {{++id, "o1", amount, -5}};
+        query.returns = {{"o1", amount}};
+        const auto answer = test.accountant.handle_query(query, at(4950ms));
         cr_assert_not(answer.results.at(0).is_allowed);
     }
-    quota_query far = make_ask("r3");
-    far.last_reply_age_us = std::numeric_limits<std::int64_t>::max();
-    far.counting_delay_us = std::numeric_limits<std::int64_t>::max();
-    test.counts.handle_query(far, at(4950ms));
+    quota_query out_of_range = make_query("r3");
+    out_of_range.last_reply_age_us = std::numeric_limits<std::int64_t>::max();
+    out_of_range.counting_delay_us = std::numeric_limits<std::int64_t>::max();
+    test.accountant.handle_query(out_of_range, at(4950ms));
     cr_assert_float_eq(
-        test.counts.accounts().at("o1").bucket.level(), 500, 1e-6);
-    cr_assert(test.counts.handle_query(make_ask("r1", 7), at(4950ms))
+        test.accountant.accounts().at("o1").bucket.level(), 500, 1e-6);
+    cr_assert(test.accountant.handle_query(make_query("r1", 7), at(4950ms))
                   .results.at(0)
                   .is_allowed);
 }
 
-Test(quota_accountant, one_that_knows_of_no_router_hands_out_nothing)
+Test(quota_accountant, grants_nothing_while_the_router_count_is_unknown)
 {
-    quota_accountant counts("a", quota_bounds());
-    counts.set_limits(make_limits(usage_limit{1000, 1000}), at(0s));
+    quota_accountant accountant("a", quota_bounds());
+    accountant.set_limits(make_limits(usage_limit{1000, 1000}), at(0s));
     for (duration passed = 0s; passed < 3s; passed += 100ms)
-        counts.handle_query(make_ask("r1"), at(passed));
-    const auto answer = counts.handle_query(make_ask("r1", 7), at(3s));
+        accountant.handle_query(make_query("r1"), at(passed));
+    const auto answer = accountant.handle_query(make_query("r1", 7), at(3s));
     cr_assert_not(answer.results.at(0).is_allowed);
 }
--- a/tests/unit/quota/test_quota_client.cpp
+++ b/tests/unit/quota/test_quota_client.cpp
@@ -13,25 +13,25 @@
     return instant(100s + since_start);
 }
 
-/// Beside the limits of all, in a window.
+/// Tokens per window on top of the limit, for all routers together.
 constexpr double slack = 20'000;
 
 global_limits make_limits()
 {
-    deployment made;
-    organisation one;
-    one.name = "o1";
-    one.limit = usage_limit{10'000, 10'000};
-    made.organisations = {one};
+    deployment configuration;
+    organisation entry;
+    entry.name = "o1";
+    entry.limit = usage_limit{10'000, 10'000};
+    configuration.organisations = {entry};
     quota_bounds bounds;
     bounds.slack = slack;
-    return limits_of(made, bounds);
+    return limits_of(configuration, bounds);
 }
 
-/// One of ten routers, two of which may count.
-struct asking_router
+/// One of ten routers, two of which may be accountants.
+struct client_fixture
 {
-    explicit asking_router(quota_mode mode = quota_mode::accountant)
+    explicit client_fixture(quota_mode mode = quota_mode::accountant)
         : client(make_options(mode))
     {
         this->client.set_limits(make_limits());
@@ -48,8 +48,8 @@
         return made;
     }
 
-    /// @return Words to one accountant since the last call.
-    std::vector<quota_query> words_to(const std::string& name)
+    /// @return Queries to one accountant since the last call.
+    std::vector<quota_query> queries_to(const std::string& name)
     {
         std::vector<quota_query> found;
         for (const quota_message& one : this->client.take_messages())
@@ -60,14 +60,14 @@
         return found;
     }
 
-    /// The accountant answers with nothing decided.
+    /// The accountant replies without any results.
     void answer(const std::string& name, duration when)
     {
         this->client.handle_reply({name, {}}, at(when));
     }
 
-    /// An accountant answers for a second.
-    void settle(const std::string& name)
+    /// An accountant replies regularly for one second.
+    void establish_contact(const std::string& name)
     {
         for (duration passed = 0s; passed <= 1s; passed += 50ms)
         {
@@ -82,15 +82,15 @@
 
 } // namespace
 
-Test(quota_client, asks_the_first_accountant_and_tells_its_decision)
+Test(quota_client, asks_the_first_accountant_and_passes_on_its_decision)
 {
-    asking_router test;
-    test.settle("a");
+    client_fixture test;
+    test.establish_contact("a");
     const std::uint64_t id = test.client.draw("o1", 700, 100ms, at(1s));
-    const auto words = test.words_to("a");
-    cr_assert_eq(words.size(), 1);
-    cr_assert_eq(words[0].draws.at(0).id, id);
-    cr_assert_eq(words[0].draws.at(0).max_wait_us, 100'000);
+    const auto queries = test.queries_to("a");
+    cr_assert_eq(queries.size(), 1);
+    cr_assert_eq(queries[0].draws.at(0).id, id);
+    cr_assert_eq(queries[0].draws.at(0).max_wait_us, 100'000);
     test.client.handle_reply({"a", {{id, true, 20'000}}}, at(1002ms));
     const auto decisions = test.client.take_decisions();
     cr_assert_eq(decisions.size(), 1);
@@ -98,32 +98,32 @@
     cr_assert(decisions[0].wait == 20ms);
 }
 
-Test(quota_client, a_lost_ask_is_sent_again)
+Test(quota_client, a_lost_query_is_sent_again)
 {
-    asking_router test;
-    test.settle("a");
+    client_fixture test;
+    test.establish_contact("a");
     const std::uint64_t id = test.client.draw("o1", 700, 100ms, at(1s));
     test.client.take_messages();
     cr_assert_leq(test.client.next_tick(), at(1040ms));
     test.client.tick(at(1040ms));
-    const auto again = test.words_to("a");
+    const auto again = test.queries_to("a");
     cr_assert_eq(again.at(0).draws.at(0).id, id);
 }
 
-Test(quota_client, one_that_falls_silent_is_left_for_the_next)
+Test(quota_client, fails_over_from_an_unresponsive_accountant)
 {
-    asking_router test;
-    test.settle("a");
+    client_fixture test;
+    test.establish_contact("a");
     test.client.draw("o1", 700, 100ms, at(1s));
     test.client.tick(at(1040ms));
     test.client.tick(at(1080ms));
     cr_assert_eq(test.client.accountant(), "b");
-    cr_assert_eq(test.words_to("b").at(0).draws.size(), 1);
+    cr_assert_eq(test.queries_to("b").at(0).draws.size(), 1);
 }
 
-Test(quota_client, a_refusal_by_one_that_heard_few_so_far_is_not_final)
+Test(quota_client, a_refusal_by_an_accountant_that_just_started_is_not_final)
 {
-    asking_router test;
+    client_fixture test;
     const std::uint64_t id = test.client.draw("o1", 700, 100ms, at(0s));
     test.client.handle_reply({"a", {{id, false, 500'000}}}, at(2ms));
     cr_assert(test.client.take_decisions().empty());
@@ -139,13 +139,13 @@
     cr_assert(decisions[0].retry_after == 500ms);
 }
 
-Test(quota_client, while_nobody_answers_its_own_part_decides_at_once)
+Test(quota_client, decides_locally_at_once_while_no_accountant_answers)
 {
-    asking_router test;
+    client_fixture test;
     for (duration passed = 0s; passed <= 5s; passed += 40ms)
         test.client.tick(at(passed));
     test.client.take_messages();
-    // A tenth of the limit, and a twentieth of what is beside it.
+    // The burst is a tenth of the limit plus a twentieth of the slack.
     test.client.draw("o1", 2'000, 0ms, at(5s));
     test.client.draw("o1", 2'000, 0ms, at(5s));
     const auto decisions = test.client.take_decisions();
@@ -155,28 +155,28 @@
     cr_assert_gt(decisions[1].retry_after, duration(0));
 }
 
-Test(quota_client, a_request_over_its_own_part_is_refused)
+Test(quota_client, a_request_above_its_local_burst_is_refused)
 {
-    asking_router test;
+    client_fixture test;
     for (duration passed = 0s; passed <= 5s; passed += 40ms)
         test.client.tick(at(passed));
     test.client.draw("o1", 2'001, 60s, at(5s));
     cr_assert_not(test.client.take_decisions().at(0).is_allowed);
 }
 
-Test(quota_client, who_stood_still_does_not_take_that_for_silence)
+Test(quota_client, a_suspended_client_does_not_fail_over)
 {
-    asking_router test;
-    test.settle("a");
+    client_fixture test;
+    test.establish_contact("a");
     test.client.draw("o1", 700, 100ms, at(1s));
     test.client.tick(at(1200ms));
     cr_assert_eq(test.client.accountant(), "a");
 }
 
-Test(quota_client, two_accountants_count_it_at_once_only_once_in_a_window)
+Test(quota_client, is_counted_twice_at_most_once_per_window)
 {
-    asking_router test;
-    test.settle("a");
+    client_fixture test;
+    test.establish_contact("a");
     const auto fail_over = [&](const std::string& to, duration when)
     {
         test.client.draw("o1", 700, 100ms, at(when));
@@ -184,7 +184,7 @@
         test.client.tick(at(when + 80ms));
         test.client.take_messages();
         test.answer(to, when + 82ms);
-        return test.words_to(to).at(0).counting_delay_us;
+        return test.queries_to(to).at(0).counting_delay_us;
     };
     cr_assert_eq(fail_over("b", 1s), 0);
     for (duration passed = 1100ms; passed < 2200ms; passed += 20ms)
@@ -192,8 +192,8 @@
         test.client.tick(at(passed));
         test.answer("b", passed);
     }
-    // Back to the first, which had been left: it counts from when the other
-    // one has stopped to.
+    // After a switch back to the first accountant, it counts this router only
+    // once the other one has stopped to.
     test.answer("a", 2190ms);
     cr_assert_eq(test.client.accountant(), "b");
     const std::int64_t wait = fail_over("a", 2200ms);
@@ -201,15 +201,15 @@
     cr_assert_leq(wait, 800'000);
 }
 
-Test(quota_client, a_list_told_anew_is_no_reason_to_change)
+Test(quota_client, an_updated_list_does_not_cause_a_switch)
 {
-    asking_router test;
-    test.settle("a");
+    client_fixture test;
+    test.establish_contact("a");
     test.client.draw("o1", 700, 100ms, at(1s));
     test.client.tick(at(1040ms));
     test.client.tick(at(1080ms));
     test.answer("b", 1082ms);
-    // The first is back, and has heard nobody yet.
+    // The first is back, and no router has reported to it yet.
     test.answer("a", 1900ms);
     cr_assert_eq(test.client.accountant(), "b");
     test.client.set_accountants({"a", "b"}, 11);
@@ -218,9 +218,9 @@
     cr_assert_eq(test.client.accountant(), "a");
 }
 
-Test(quota_client, own_share_asks_nobody)
+Test(quota_client, local_shares_need_no_accountant)
 {
-    asking_router test(quota_mode::local_share);
+    client_fixture test(quota_mode::local_share);
     for (duration passed = 0s; passed <= 5s; passed += 250ms)
         test.client.tick(at(passed));
     test.client.draw("o1", 700, 0ms, at(5s));
@@ -228,9 +228,9 @@
     cr_assert(test.client.take_decisions().at(0).is_allowed);
 }
 
-Test(quota_client, a_router_that_knows_of_no_other_has_no_part)
+Test(quota_client, a_router_that_does_not_know_the_router_count_has_no_share)
 {
-    quota_client alone(asking_router::make_options(quota_mode::accountant));
+    quota_client alone(client_fixture::make_options(quota_mode::accountant));
     alone.set_limits(make_limits());
     for (duration passed = 0s; passed <= 5s; passed += 40ms)
         alone.tick(at(passed));
--- a/tests/unit/quota/test_quota_fleet.cpp
+++ b/tests/unit/quota/test_quota_fleet.cpp
@@ -10,17 +10,19 @@
 namespace
 {
 
-/// Of what is owed, without faults.
-constexpr double nearly_all = 0.99;
+/// Minimum served share when there are no faults.
+constexpr double min_served_share = 0.99;
 
 constexpr double limit = 29'000;
-constexpr double hot = 6 * limit; ///< what a hot organisation sends a second
-constexpr double triage = 720;
-constexpr double lookup = 9'200;
+constexpr double overload_rate =
+    6 * limit; ///< tokens per second sent by an overloading organisation
+constexpr double small_request = 720;
+constexpr double large_request = 9'200;
 constexpr duration short_wait = 100ms;
 
-/// All traffic on the last so many routers, which are weak ones.
-std::vector<double> on_last(std::size_t some, std::size_t of)
+/// Weights that send all traffic to the last `some` routers, which can't be
+/// accountants.
+std::vector<double> weights_of_last(std::size_t some, std::size_t of)
 {
     std::vector<double> weights(of, 0.0);
     std::fill_n(weights.rbegin(), some, 1.0);
@@ -43,20 +45,20 @@
         fleet.served_share(), least, "%.3f served", fleet.served_share());
 }
 
-quota_fleet::options sized(std::size_t routers)
+quota_fleet::options make_options(std::size_t routers)
 {
-    quota_fleet::options made;
-    made.routers = routers;
-    return made;
+    quota_fleet::options chosen;
+    chosen.routers = routers;
+    return chosen;
 }
 
-/// A fleet that had time to find together.
+/// A fleet in which all routers had time to choose an accountant.
 struct settled_fleet : quota_fleet
 {
     explicit settled_fleet(const options& chosen)
         : quota_fleet(chosen)
     {
-        this->pass(5s);
+        this->advance(5s);
     }
 };
 
@@ -66,43 +68,43 @@
 {
     for (const std::size_t routers : {7U, 65U, 300U})
     {
-        settled_fleet fleet(sized(routers));
-        fleet.send(20s, hot, triage, short_wait);
+        settled_fleet fleet(make_options(routers));
+        fleet.send(20s, overload_rate, small_request, short_wait);
         assert_in_bounds(fleet);
-        assert_served(fleet, nearly_all);
+        assert_served(fleet, min_served_share);
     }
 }
 
-Test(quota_fleet, what_is_owed_is_served_at_the_limit)
+Test(quota_fleet, traffic_at_the_limit_is_served)
 {
     for (const std::size_t routers : {7U, 65U, 300U})
     {
-        settled_fleet fleet(sized(routers));
-        fleet.send(30s, limit, triage, short_wait);
-        assert_served(fleet, nearly_all);
+        settled_fleet fleet(make_options(routers));
+        fleet.send(30s, limit, small_request, short_wait);
+        assert_served(fleet, min_served_share);
         assert_in_bounds(fleet);
     }
 }
 
-Test(quota_fleet, callers_on_few_routers_get_the_whole_limit)
+Test(quota_fleet, callers_of_few_routers_get_the_whole_limit)
 {
-    settled_fleet fleet(sized(65));
-    fleet.send(30s, limit, triage, short_wait, on_last(4, 65));
-    assert_served(fleet, nearly_all);
+    settled_fleet fleet(make_options(65));
+    fleet.send(30s, limit, small_request, short_wait, weights_of_last(4, 65));
+    assert_served(fleet, min_served_share);
     assert_in_bounds(fleet);
 }
 
 Test(quota_fleet, large_requests_get_the_whole_limit)
 {
-    settled_fleet fleet(sized(65));
-    fleet.send(40s, 20'000, lookup, 150ms);
-    assert_served(fleet, nearly_all);
+    settled_fleet fleet(make_options(65));
+    fleet.send(40s, 20'000, large_request, 150ms);
+    assert_served(fleet, min_served_share);
     assert_in_bounds(fleet);
 }
 
-Test(quota_fleet, a_lossy_network_costs_little)
+Test(quota_fleet, a_lossy_network_reduces_throughput_little)
 {
-    quota_fleet::options chosen = sized(300);
+    quota_fleet::options chosen = make_options(300);
     chosen.loss = 0.03;
     chosen.duplicate = 0.05;
     chosen.longest_delay = 15ms;
@@ -110,50 +112,51 @@
     {
         chosen.seed = seed;
         settled_fleet fleet(chosen);
-        fleet.send(20s, hot, triage, short_wait);
+        fleet.send(20s, overload_rate, small_request, short_wait);
         assert_in_bounds(fleet);
         assert_served(fleet, 0.95);
     }
 }
 
-Test(quota_fleet, an_accountant_that_dies_is_followed_by_the_next)
+Test(quota_fleet, fails_over_when_an_accountant_is_cut_off)
 {
-    settled_fleet fleet(sized(65));
-    fleet.send(5s, hot, triage, short_wait);
+    settled_fleet fleet(make_options(65));
+    fleet.send(5s, overload_rate, small_request, short_wait);
     fleet.reaches = [](std::size_t from, std::size_t to)
     {
         return from != 0 && to != 0;
     };
-    fleet.send(2s, hot, triage, short_wait);
-    fleet.forget();
-    fleet.send(10s, hot, triage, short_wait, on_last(60, 65));
+    fleet.send(2s, overload_rate, small_request, short_wait);
+    fleet.reset_counters();
+    fleet.send(
+        10s, overload_rate, small_request, short_wait, weights_of_last(60, 65));
     assert_in_bounds(fleet);
     assert_served(fleet, 0.95);
 }
 
-Test(quota_fleet, an_accountant_that_freezes_and_wakes_harms_nothing)
+Test(quota_fleet, a_suspended_accountant_breaks_no_limit)
 {
     for (const duration length : {500ms, 2000ms, 6800ms})
     {
-        settled_fleet fleet(sized(65));
-        fleet.send(3s, hot, triage, short_wait);
+        settled_fleet fleet(make_options(65));
+        fleet.send(3s, overload_rate, small_request, short_wait);
         fleet.freeze(0, length);
-        fleet.send(12s, hot, triage, short_wait);
+        fleet.send(12s, overload_rate, small_request, short_wait);
         assert_in_bounds(fleet);
         assert_served(fleet, 0.9);
     }
 }
 
-Test(quota_fleet, an_accountant_heard_in_one_direction_only)
+Test(quota_fleet, an_accountant_reachable_in_one_direction_only)
 {
-    for (const bool deaf : {false, true})
+    for (const bool no_replies : {false, true})
     {
-        settled_fleet fleet(sized(65));
-        fleet.reaches = [deaf](std::size_t from, std::size_t to)
+        settled_fleet fleet(make_options(65));
+        fleet.reaches = [no_replies](std::size_t from, std::size_t to)
         {
-            return deaf ? to != 0 : from != 0;
+            return no_replies ? to != 0 : from != 0;
         };
-        fleet.send(15s, hot, triage, short_wait);
+        fleet.send(15s, overload_rate, small_request, short_wait);
         assert_in_bounds(fleet);
         assert_served(fleet, 0.9);
     }
@@ -161,32 +164,32 @@
 
 Test(quota_fleet, two_accountants_at_once_share_the_limit)
 {
-    settled_fleet fleet(sized(66));
-    // Each half reaches only its own accountants.
+    settled_fleet fleet(make_options(66));
+    // Each half of the routers reaches only its own accountants.
     fleet.reaches = [](std::size_t from, std::size_t to)
     {
         return from % 2 == to % 2;
     };
-    fleet.send(20s, hot, triage, short_wait);
+    fleet.send(20s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
     assert_served(fleet, 0.9);
 }
 
 Test(quota_fleet, routers_that_are_all_cut_off_keep_the_sum)
 {
-    settled_fleet fleet(sized(65));
-    fleet.send(3s, hot, triage, short_wait);
+    settled_fleet fleet(make_options(65));
+    fleet.send(3s, overload_rate, small_request, short_wait);
     fleet.reaches = [](std::size_t, std::size_t)
     {
         return false;
     };
-    fleet.send(20s, hot, triage, short_wait);
+    fleet.send(20s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
 }
 
 Test(quota_fleet, routers_cut_off_in_turn_keep_the_sum)
 {
-    settled_fleet fleet(sized(65));
+    settled_fleet fleet(make_options(65));
     fleet.reaches = [&fleet](std::size_t from, std::size_t to)
     {
         const auto step =
@@ -197,28 +200,28 @@
         };
         return is_cut(from) == is_cut(to);
     };
-    fleet.send(25s, hot, triage, short_wait);
+    fleet.send(25s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
 }
 
-Test(quota_fleet, hundreds_restart_at_once_with_nothing_known)
+Test(quota_fleet, all_routers_restart_at_once)
 {
-    settled_fleet fleet(sized(300));
-    fleet.send(8s, hot, triage, short_wait);
+    settled_fleet fleet(make_options(300));
+    fleet.send(8s, overload_rate, small_request, short_wait);
     for (std::size_t i = 0; i < 300; ++i)
         fleet.restart(i);
-    fleet.send(8s, hot, triage, short_wait);
+    fleet.send(8s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
     assert_served(fleet, 0.9);
 }
 
 Test(quota_fleet, restarts_one_after_the_other)
 {
-    settled_fleet fleet(sized(65));
+    settled_fleet fleet(make_options(65));
     for (std::size_t i = 0; i < 65; ++i)
     {
         fleet.restart(i);
-        fleet.send(300ms, hot, triage, short_wait);
+        fleet.send(300ms, overload_rate, small_request, short_wait);
     }
     assert_in_bounds(fleet);
     assert_served(fleet, 0.85);
@@ -226,59 +229,60 @@
 
 Test(quota_fleet, three_quarters_more_routers_at_once)
 {
-    settled_fleet fleet(sized(65));
-    fleet.send(5s, hot, triage, short_wait);
+    settled_fleet fleet(make_options(65));
+    fleet.send(5s, overload_rate, small_request, short_wait);
     fleet.add(49);
-    fleet.send(10s, hot, triage, short_wait);
+    fleet.send(10s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
     assert_served(fleet, 0.98);
 }
 
-Test(quota_fleet, a_limit_that_goes_up_is_owed_at_once)
+Test(quota_fleet, a_raised_limit_takes_effect_at_once)
 {
-    settled_fleet fleet(sized(65));
-    fleet.send(5s, 100'000, triage, short_wait);
+    settled_fleet fleet(make_options(65));
+    fleet.send(5s, 100'000, small_request, short_wait);
     fleet.set_limit({90'000, 90'000});
-    fleet.forget();
-    fleet.send(10s, 6 * 90'000, triage, short_wait);
+    fleet.reset_counters();
+    fleet.send(10s, 6 * 90'000, small_request, short_wait);
     assert_served(fleet, 0.98);
 }
 
-Test(quota_fleet, a_limit_far_below_what_is_sent_binds)
+Test(quota_fleet, a_limit_far_below_the_load_holds)
 {
-    settled_fleet fleet(sized(65));
+    settled_fleet fleet(make_options(65));
     fleet.set_limit({5'000, 5'000});
-    fleet.send(20s, 100'000, triage, short_wait);
+    fleet.send(20s, 100'000, small_request, short_wait);
     assert_in_bounds(fleet);
 }
 
-Test(quota_fleet, a_first_limit_binds)
+Test(quota_fleet, a_newly_set_limit_holds)
 {
-    quota_fleet::options chosen = sized(65);
+    quota_fleet::options chosen = make_options(65);
     chosen.limit = {0, 0};
     settled_fleet fleet(chosen);
     fleet.set_limit({limit, limit});
-    fleet.send(20s, hot, triage, short_wait);
+    fleet.send(20s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
     assert_served(fleet, 0.95);
 }
 
 Test(quota_fleet, an_organisation_without_a_limit_is_never_refused)
 {
-    quota_fleet::options chosen = sized(65);
+    quota_fleet::options chosen = make_options(65);
     chosen.limit = {0, 0};
     settled_fleet fleet(chosen);
-    fleet.send(5s, 100'000, triage, 0ms);
-    fleet.pass(1s);
+    fleet.send(5s, 100'000, small_request, 0ms);
+    fleet.advance(1s);
     cr_assert_gt(fleet.worst_window(), 450'000);
 }
 
-Test(quota_fleet, an_idle_fleet_says_little)
+Test(quota_fleet, an_idle_fleet_sends_few_messages)
 {
-    settled_fleet fleet(sized(300));
-    const std::size_t before = fleet.words();
-    fleet.pass(10s);
+    settled_fleet fleet(make_options(300));
+    const std::size_t before = fleet.message_count();
+    fleet.advance(10s);
     const double each_second =
-        static_cast<double>(fleet.words() - before) / 10 / 300;
-    cr_assert_leq(each_second, 8, "%.1f words a router", each_second);
+        static_cast<double>(fleet.message_count() - before) / 10 / 300;
+    cr_assert_leq(
+        each_second, 8, "%.1f messages per router and second", each_second);
 }
--- a/tests/unit/quota/test_token_bucket.cpp
+++ b/tests/unit/quota/test_token_bucket.cpp
@@ -21,7 +21,7 @@
     cr_assert_float_eq(bucket.level(), 500, 1e-9);
 }
 
-Test(token_bucket, a_request_waits_for_what_is_missing)
+Test(token_bucket, a_request_waits_for_missing_tokens)
 {
     token_bucket bucket;
     bucket.refill(100ms, limit);
@@ -32,7 +32,7 @@
     cr_assert(bucket.time_until(100, limit) == duration(300ms));
 }
 
-Test(token_bucket, one_over_the_capacity_goes_when_it_is_full)
+Test(token_bucket, a_request_above_the_capacity_passes_when_the_bucket_is_full)
 {
     token_bucket bucket;
     bucket.refill(10s, limit);
@@ -40,7 +40,7 @@
     cr_assert_float_eq(bucket.level(), -1500, 1e-9);
 }
 
-Test(token_bucket, what_is_put_back_counts_up_to_the_capacity)
+Test(token_bucket, returned_tokens_count_up_to_the_capacity)
 {
     token_bucket bucket;
     bucket.refill(10s, limit);
@@ -48,7 +48,7 @@
     cr_assert_float_eq(bucket.level(), 500, 1e-9);
 }
 
-Test(token_bucket, a_capacity_that_shrinks_takes_what_is_over)
+Test(token_bucket, a_reduced_capacity_drops_excess_tokens)
 {
     token_bucket bucket;
     bucket.refill(10s, limit);
@@ -56,7 +56,7 @@
     cr_assert_float_eq(bucket.level(), 50, 1e-9);
 }
 
-Test(token_bucket, never_filled_it_tells_a_long_time)
+Test(token_bucket, a_bucket_that_never_refills_reports_the_longest_wait)
 {
     const token_bucket bucket;
     cr_assert(bucket.time_until(1, {0, 0}) == duration(1h));
--- a/tests/unit/server_limits/limited_fleet.cpp
+++ b/tests/unit/server_limits/limited_fleet.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-/// As the gateway's desk has them.
-constexpr duration permit_life = 500ms;
-constexpr duration patience_for_permits = 1s;
+/// The same values as in the gateway.
+constexpr duration permit_lifetime = 500ms;
+constexpr duration permit_max_wait = 1s;
 constexpr duration longest_retry = 1s;
 
 const engine_id limited_engine(1);
 constexpr std::string_view limited_server = "i-1";
 
-/// Routers have so long to learn of a limit.
-constexpr duration excused = 500ms;
+/// Time that routers have to learn of a limit.
+constexpr duration grace_period = 500ms;
 constexpr duration window = 4s;
 
 } // namespace
@@ -47,54 +47,55 @@
     this->table.put(std::move(model));
     for (std::size_t i = 0; i < this->settings.routers; ++i)
         this->routers.emplace_back().name = "r" + std::to_string(i);
-    for (std::size_t i = 0; i < this->settings.strong; ++i)
-        this->order.push_back(this->routers[i].name);
-    for (router& one : this->routers)
-        this->start(one);
+    for (std::size_t i = 0; i < this->settings.accountant_candidates; ++i)
+        this->candidate_names.push_back(this->routers[i].name);
+    for (router& target : this->routers)
+        this->start(target);
 }
 
-void limited_fleet::start(router& one)
+void limited_fleet::start(router& target)
 {
-    ++one.run;
+    ++target.run;
     dispatcher::options traffic;
     traffic.affinity = prefix_affinity::none;
     traffic.data_centre = "a";
     traffic.seed = this->random();
-    one.traffic = std::make_unique<dispatcher>(traffic);
-    one.traffic->table_changed(this->table.publish(), this->time);
+    target.traffic = std::make_unique<dispatcher>(traffic);
+    target.traffic->table_changed(this->table.publish(), this->time);
     server_limits::options known;
-    known.router = one.name;
-    one.limits = std::make_unique<server_limits>(known);
-    quota_client::options asks;
-    asks.router = one.name;
-    asks.mode = this->settings.mode;
-    asks.seed = this->random() << 20;
-    one.client = std::make_unique<quota_client>(asks);
-    one.accountant = std::make_unique<quota_accountant>(one.name, asks.bounds);
-    one.client->set_accountants(this->order, this->routers.size());
-    one.accountant->set_router_count(this->routers.size());
-    one.draws.clear();
-    one.armed = instant::max();
+    known.router = target.name;
+    target.limits = std::make_unique<server_limits>(known);
+    quota_client::options client_options;
+    client_options.router = target.name;
+    client_options.mode = this->settings.mode;
+    client_options.seed = this->random() << 20;
+    target.client = std::make_unique<quota_client>(client_options);
+    target.accountant =
+        std::make_unique<quota_accountant>(target.name, client_options.bounds);
+    target.client->set_accountants(this->candidate_names, this->routers.size());
+    target.accountant->set_router_count(this->routers.size());
+    target.draws.clear();
+    target.scheduled_tick = instant::max();
 }
 
-void limited_fleet::at(instant when, std::function<void()> action)
+void limited_fleet::schedule(instant when, std::function<void()> action)
 {
     this->events.push({when, ++this->last_number, std::move(action)});
 }
 
-void limited_fleet::on(
+void limited_fleet::schedule_on(
     std::size_t number, instant when, std::function<void()> action)
 {
     const std::uint64_t run = this->routers[number].run;
-    this->at(
+    this->schedule(
         when,
         [this, number, run, action = std::move(action)]
         {
-            const router& one = this->routers[number];
-            if (one.run != run)
+            const router& target = this->routers[number];
+            if (target.run != run)
                 return;
-            if (one.frozen_until > this->time)
-                this->on(number, one.frozen_until, action);
+            if (target.frozen_until > this->time)
+                this->schedule_on(number, target.frozen_until, action);
             else
                 action();
         });
@@ -128,23 +129,23 @@
     for (instant when = this->time + next(); when < end; when += next())
     {
         const std::size_t number = place(this->random);
-        this->on(
+        this->schedule_on(
             number,
             when,
             [this, number]
             {
-                this->arrive(number);
+                this->handle_request(number);
             });
     }
     this->run_until(end);
 }
 
-void limited_fleet::arrive(std::size_t number)
+void limited_fleet::handle_request(std::size_t number)
 {
     request_info info;
     info.target = "m";
-    info.deadline = this->time + this->settings.patience;
-    info.objective = this->time + this->settings.patience / 4;
+    info.deadline = this->time + this->settings.caller_timeout;
+    info.objective = this->time + this->settings.caller_timeout / 4;
     this->routers[number].traffic->submit(std::move(info), this->time);
     this->flush(number);
 }
@@ -154,41 +155,41 @@
     this->take_changes(number);
     this->take_commands(number);
     this->take_draws(number);
-    router& one = this->routers[number];
-    if (const auto word = one.limits->take_update(this->time))
+    router& target = this->routers[number];
+    if (const auto update = target.limits->take_update(this->time))
     {
         for (std::size_t to = 0; to < this->routers.size(); ++to)
         {
             if (to == number)
                 continue;
-            this->carry(
+            this->deliver(
                 number,
                 to,
-                [this, to, word = *word]
+                [this, to, update = *update]
                 {
-                    this->routers[to].limits->handle_update(word, this->time);
+                    this->routers[to].limits->handle_update(update, this->time);
                     this->flush(to);
                 });
         }
     }
-    this->arm(number);
+    this->schedule_tick(number);
 }
 
 void limited_fleet::take_changes(std::size_t number)
 {
-    router& one = this->routers[number];
-    const auto changes = one.limits->take_changes();
+    router& target = this->routers[number];
+    const auto changes = target.limits->take_changes();
     for (const server_limit& changed : changes)
-        one.traffic->server_limited(
+        target.traffic->server_limited(
             {limited_engine, {}}, changed.per_second, this->time);
     if (changes.empty())
         return;
     global_limits all;
-    for (const server_limit& limit : one.limits->in_force())
+    for (const server_limit& limit : target.limits->in_force())
         all[server_account(limit.server)] = limit_of_server(limit.per_second);
-    one.accountant->set_limits(all, this->time);
-    one.client->set_limits(std::move(all));
-    one.client->tick(this->time);
+    target.accountant->set_limits(all, this->time);
+    target.client->set_limits(std::move(all));
+    target.client->tick(this->time);
 }
 
 void limited_fleet::take_commands(std::size_t number)
@@ -213,11 +214,12 @@
     const instant end = sent + duration(length(this->random));
     if (given.engine == limited_engine)
     {
-        const bool is_named = this->named_since != instant::max();
+        const bool is_announced = this->announced_since != instant::max();
         this->arrivals.push_back(
-            {sent, is_named && sent - this->named_since >= excused});
+            {sent,
+             is_announced && sent - this->announced_since >= grace_period});
     }
-    this->on(
+    this->schedule_on(
         number,
         end,
         [this, number, given, sent]
@@ -228,45 +230,45 @@
 
 void limited_fleet::answer(std::size_t number, const grant& given, instant sent)
 {
-    router& one = this->routers[number];
+    router& target = this->routers[number];
     if (given.engine == limited_engine)
     {
-        const auto named = this->named_since <= this->time
+        const auto named = this->announced_since <= this->time
                                ? std::optional(this->settings.per_second)
                                : std::nullopt;
-        one.limits->handle_answer(limited_server, named, sent, this->time);
+        target.limits->handle_answer(limited_server, named, sent, this->time);
     }
     attempt_result result;
     result.total = this->time - sent;
     result.first_byte = result.total / 2;
-    one.traffic->finished(given.request, result, this->time);
+    target.traffic->finished(given.request, result, this->time);
     ++this->answered_count;
     this->flush(number);
 }
 
 void limited_fleet::draw_permit(std::size_t number, const permit_wanted& what)
 {
-    router& one = this->routers[number];
-    const std::uint64_t id = one.client->draw(
+    router& target = this->routers[number];
+    const std::uint64_t id = target.client->draw(
         server_account(limited_server),
         1,
-        what.waits ? patience_for_permits : duration::zero(),
+        what.waits ? permit_max_wait : duration::zero(),
         this->time);
-    one.draws[id] = what.server;
+    target.draws[id] = what.server;
 }
 
 void limited_fleet::take_draws(std::size_t number)
 {
-    router& one = this->routers[number];
-    for (const quota_message& message : one.client->take_messages())
-        this->ask(number, message);
-    for (const quota_decision& made : one.client->take_decisions())
-        this->decide(number, made);
+    router& target = this->routers[number];
+    for (const quota_message& message : target.client->take_messages())
+        this->send_query(number, message);
+    for (const quota_decision& decision : target.client->take_decisions())
+        this->apply_decision(number, decision);
 }
 
-void limited_fleet::ask(std::size_t from, const quota_message& message)
+void limited_fleet::send_query(std::size_t from, const quota_message& message)
 {
-    const std::size_t to = this->number_of(message.to);
+    const std::size_t to = this->index_of(message.to);
     if (to == from)
     {
         router& self = this->routers[from];
@@ -276,93 +278,94 @@
         this->take_draws(from);
         return;
     }
-    const auto answered = [this, from](const quota_reply& made)
+    const auto answered = [this, from](const quota_reply& reply)
     {
-        this->routers[from].client->handle_reply(made, this->time);
+        this->routers[from].client->handle_reply(reply, this->time);
         this->flush(from);
     };
-    this->carry(
+    this->deliver(
         from,
         to,
-        [this, from, to, ask = message.query, answered]
+        [this, from, to, query = message.query, answered]
         {
-            const quota_reply made =
-                this->routers[to].accountant->handle_query(ask, this->time);
-            this->carry(
+            const quota_reply reply =
+                this->routers[to].accountant->handle_query(query, this->time);
+            this->deliver(
                 to,
                 from,
-                [answered, made]
+                [answered, reply]
                 {
-                    answered(made);
+                    answered(reply);
                 });
         });
 }
 
-void limited_fleet::decide(std::size_t number, const quota_decision& made)
+void limited_fleet::apply_decision(
+    std::size_t number, const quota_decision& decision)
 {
-    router& one = this->routers[number];
-    const auto found = one.draws.find(made.id);
-    if (found == one.draws.end())
+    router& target = this->routers[number];
+    const auto found = target.draws.find(decision.id);
+    if (found == target.draws.end())
         return;
     const server_place place = found->second;
-    one.draws.erase(found);
-    if (!made.is_allowed)
+    target.draws.erase(found);
+    if (!decision.is_allowed)
     {
-        one.traffic->permit_refused(
-            place, std::min(made.retry_after, longest_retry), this->time);
+        target.traffic->permit_refused(
+            place, std::min(decision.retry_after, longest_retry), this->time);
         return;
     }
-    one.traffic->permit_given(place, this->time + made.wait, this->time);
-    this->on(
+    target.traffic->permit_given(place, this->time + decision.wait, this->time);
+    this->schedule_on(
         number,
-        this->time + made.wait + permit_life,
+        this->time + decision.wait + permit_lifetime,
         [this, number, place]
         {
-            router& later = this->routers[number];
-            if (later.traffic->permit_withdrawn(place))
-                later.client->return_tokens(
+            router& current = this->routers[number];
+            if (current.traffic->permit_withdrawn(place))
+                current.client->return_tokens(
                     server_account(limited_server), 1, this->time);
         });
     this->take_commands(number);
 }
 
-void limited_fleet::arm(std::size_t number)
+void limited_fleet::schedule_tick(std::size_t number)
 {
-    router& one = this->routers[number];
-    const bool counts = !one.limits->in_force().empty();
-    instant due = counts ? one.client->next_tick() : instant::max();
-    if (const auto next = one.limits->next_tick())
+    router& target = this->routers[number];
+    const bool counts = !target.limits->in_force().empty();
+    instant due = counts ? target.client->next_tick() : instant::max();
+    if (const auto next = target.limits->next_tick())
         due = std::min(due, *next);
-    if (const auto next = one.traffic->next_tick())
+    if (const auto next = target.traffic->next_tick())
         due = std::min(due, *next);
     if (due == instant::max())
         return;
     due = std::max(due, this->time);
-    if (one.armed <= due)
+    if (target.scheduled_tick <= due)
         return;
-    one.armed = due;
-    this->on(
+    target.scheduled_tick = due;
+    this->schedule_on(
         number,
         due,
         [this, number, due]
         {
-            router& later = this->routers[number];
-            if (later.armed != due)
+            router& current = this->routers[number];
+            if (current.scheduled_tick != due)
                 return;
-            later.armed = instant::max();
-            later.limits->tick(this->time);
-            later.accountant->tick(this->time);
-            if (!later.limits->in_force().empty())
-                later.client->tick(this->time);
-            later.traffic->tick(this->time);
+            current.scheduled_tick = instant::max();
+            current.limits->tick(this->time);
+            current.accountant->tick(this->time);
+            if (!current.limits->in_force().empty())
+                current.client->tick(this->time);
+            current.traffic->tick(this->time);
             this->flush(number);
         });
 }
 
-void limited_fleet::carry(
+void limited_fleet::deliver(
     std::size_t from, std::size_t to, std::function<void()> action)
 {
-    ++this->words_sent;
+    ++this->messages_sent;
     std::uniform_real_distribution<double> chance(0, 1);
     const bool is_lost = chance(this->random) < this->settings.loss;
     if (is_lost || !this->reaches(from, to))
@@ -370,7 +373,8 @@
     std::uniform_int_distribution<duration::rep> delay(
         this->settings.shortest_delay.count(),
         this->settings.longest_delay.count());
-    this->on(to, this->time + duration(delay(this->random)), std::move(action));
+    this->schedule_on(
+        to, this->time + duration(delay(this->random)), std::move(action));
 }
 
 void limited_fleet::restart(std::size_t number)
@@ -389,10 +393,10 @@
     std::size_t worst = 0;
     std::size_t first = 0;
     std::size_t count = 0;
-    for (const arrival& one : this->arrivals)
+    for (const arrival& entry : this->arrivals)
     {
-        count += one.is_counted ? 1 : 0;
-        for (; this->arrivals[first].when + window < one.when; ++first)
+        count += entry.is_counted ? 1 : 0;
+        for (; this->arrivals[first].when + window < entry.when; ++first)
             count -= this->arrivals[first].is_counted ? 1 : 0;
         worst = std::max(worst, count);
     }
@@ -402,22 +406,22 @@
 double limited_fleet::allowed() const
 {
     constexpr double tolerance = 1.5;
-    constexpr double beside = 5;
+    constexpr double extra = 5;
     const double seconds = std::chrono::duration<double>(window).count();
-    return tolerance * this->settings.per_second * seconds + beside;
+    return tolerance * this->settings.per_second * seconds + extra;
 }
 
 std::size_t limited_fleet::arrived_within(duration length) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         this->arrivals,
-        [this, length](const arrival& one)
+        [this, length](const arrival& entry)
         {
-            return one.when > this->time - length;
+            return entry.when > this->time - length;
         }));
 }
 
-std::size_t limited_fleet::number_of(const std::string& name) const
+std::size_t limited_fleet::index_of(const std::string& name) const
 {
     const auto found = std::ranges::find(this->routers, name, &router::name);
     return static_cast<std::size_t>(found - this->routers.begin());
--- a/tests/unit/server_limits/limited_fleet.hpp
+++ b/tests/unit/server_limits/limited_fleet.hpp
@@ -25,59 +25,64 @@
 
 using namespace std::chrono_literals;
 
-/** Many routers and one model's engines in virtual time; the first engine names
-    a rate limit in its answers for a while. Words between routers are lost,
-    delayed and reordered, all of it by one seed. */
+/** Simulates many routers and the engines of one model in virtual time.
+
+    The first engine can announce a rate limit in its answers. Messages between
+    routers are lost, delayed and reordered. One seed determines the whole run.
+*/
 class limited_fleet
 {
 public:
     struct options
     {
         std::size_t routers = 9;
-        std::size_t strong = 6;  ///< the first ones: they may count
-        std::size_t engines = 3; ///< that have the model
-        double per_second = 2;   ///< that the first engine names
-        double loss = 0;         ///< of words
+        /// The first routers; only they may be accountants.
+        std::size_t accountant_candidates = 6;
+        std::size_t engines = 3; ///< engines that have the model
+        double per_second = 2;   ///< limit that the first engine announces
+        double loss = 0;         ///< probability per message
         duration shortest_delay = 500us;
         duration longest_delay = 3ms;
-        duration service = 150ms; ///< of a request, at most twice that
-        duration patience = 3s;   ///< of a caller
+        /// Shortest service time; the longest is twice that.
+        duration service = 150ms;
+        duration caller_timeout = 3s; ///< time limit of a caller
         quota_mode mode = quota_mode::accountant;
         std::uint64_t seed = 1;
     };
 
     explicit limited_fleet(options settings);
 
-    /// Whether a word from one router reaches another now.
+    /// Whether a message from one router reaches another now.
     std::function<bool(std::size_t from, std::size_t to)> reaches =
         [](std::size_t, std::size_t)
     {
         return true;
     };
 
-    /// The first engine names its limit from now on, or no longer.
-    void name_limit(bool names)
+    /// Makes the first engine start or stop announcing its limit.
+    void announce_limit(bool announces)
     {
-        this->named_since = names ? this->time : instant::max();
+        this->announced_since = announces ? this->time : instant::max();
     }
 
-    /// Callers' requests at routers drawn alike, or at the last few only.
+    /// Sends callers' requests to random routers.
+    /// @param at_last Use only this many routers, the last ones; 0: use all.
     void send(duration length, double per_second, std::size_t at_last = 0);
 
-    /// The process ends and starts anew with nothing known.
+    /// Restarts a router, which loses its state.
     void restart(std::size_t router);
 
-    /// It stands still for so long.
+    /// Suspends a router for a time.
     void freeze(std::size_t router, duration length);
 
-    /// @return The most requests that the limited engine got in 4 s, later
-    ///         than half a second after it had named its limit.
+    /// @return The most requests that the limited engine got within 4 s. Those
+    ///         in the first 500 ms after it announced its limit don't count.
     std::size_t worst_window() const;
 
-    /// @return What it may get so.
+    /// @return The limit for `worst_window`.
     double allowed() const;
 
-    /// @return Requests that the limited engine got in the last so long.
+    /// @return Requests that the limited engine got in the given last period.
     std::size_t arrived_within(duration length) const;
 
     std::size_t served() const
@@ -90,9 +95,9 @@
         return this->refused_count;
     }
 
-    std::size_t words() const
+    std::size_t message_count() const
     {
-        return this->words_sent;
+        return this->messages_sent;
     }
 
 private:
@@ -106,7 +111,7 @@
         std::unordered_map<std::uint64_t, server_place> draws;
         std::uint64_t run = 0;
         instant frozen_until;
-        instant armed = instant::max();
+        instant scheduled_tick = instant::max();
     };
 
     struct event
@@ -125,15 +130,17 @@
     struct arrival
     {
         instant when;
-        bool is_counted = false; ///< the limit had been named by then
+        bool is_counted = false; ///< the routers should know the limit by then
     };
 
-    void start(router& one);
-    void at(instant when, std::function<void()> action);
-    /// An action of one run of a router; later while it stands still.
-    void on(std::size_t number, instant when, std::function<void()> action);
+    void start(router& target);
+    void schedule(instant when, std::function<void()> action);
+    /// Schedules an action on a router. It is delayed while the router is
+    /// suspended, and dropped when the router was restarted.
+    void
+    schedule_on(std::size_t number, instant when, std::function<void()> action);
     void run_until(instant when);
-    void arrive(std::size_t number);
+    void handle_request(std::size_t number);
     void flush(std::size_t number);
     void take_changes(std::size_t number);
     void take_commands(std::size_t number);
@@ -141,24 +148,25 @@
     void run_request(std::size_t number, const grant& given);
     void answer(std::size_t number, const grant& given, instant sent);
     void draw_permit(std::size_t number, const permit_wanted& what);
-    void decide(std::size_t number, const quota_decision& made);
-    void arm(std::size_t number);
-    void carry(std::size_t from, std::size_t to, std::function<void()> action);
-    void ask(std::size_t from, const quota_message& message);
-    std::size_t number_of(const std::string& name) const;
+    void apply_decision(std::size_t number, const quota_decision& decision);
+    void schedule_tick(std::size_t number);
+    void
+    deliver(std::size_t from, std::size_t to, std::function<void()> action);
+    void send_query(std::size_t from, const quota_message& message);
+    std::size_t index_of(const std::string& name) const;
 
     options settings;
     instant time = instant(1000s);
     std::mt19937_64 random;
     std::vector<router> routers;
-    std::vector<std::string> order; ///< of those that may count
+    std::vector<std::string> candidate_names; ///< of accountants
     detail::sharded_table table;
     std::priority_queue<event, std::vector<event>, std::greater<>> events;
     std::vector<arrival> arrivals; ///< at the limited engine
-    instant named_since = instant::max();
+    instant announced_since = instant::max();
     std::size_t answered_count = 0;
     std::size_t refused_count = 0;
-    std::size_t words_sent = 0;
+    std::size_t messages_sent = 0;
     std::uint64_t last_number = 0;
 };
 
--- a/tests/unit/server_limits/test_limited_fleet.cpp
+++ b/tests/unit/server_limits/test_limited_fleet.cpp
@@ -8,13 +8,14 @@
 namespace
 {
 
-/// What routers send to each engine of the model.
-constexpr double usual = 7;
+/// Requests per second to each engine of the model.
+constexpr double load_per_engine = 7;
 
-/// Before a limit is named.
+/// Time before the limit is announced.
 constexpr duration warm_up = 3s;
 
-limited_fleet::options sized(std::size_t routers, double per_second = 1.9)
+limited_fleet::options
+make_options(std::size_t routers, double per_second = 1.9)
 {
     limited_fleet::options made;
     made.routers = routers;
@@ -22,9 +23,9 @@
     return made;
 }
 
-double load_of(const limited_fleet::options& chosen)
+double total_load(const limited_fleet::options& chosen)
 {
-    return usual * static_cast<double>(chosen.engines);
+    return load_per_engine * static_cast<double>(chosen.engines);
 }
 
 void assert_in_bounds(const limited_fleet& fleet)
@@ -38,17 +39,17 @@
         fleet.allowed());
 }
 
-/// A fleet whose first engine has named its limit for 12 s.
+/// A fleet whose first engine has announced its limit for 12 s.
 limited_fleet make_limited(const limited_fleet::options& chosen)
 {
     limited_fleet fleet(chosen);
-    fleet.send(warm_up, load_of(chosen));
-    fleet.name_limit(true);
-    fleet.send(12s, load_of(chosen));
+    fleet.send(warm_up, total_load(chosen));
+    fleet.announce_limit(true);
+    fleet.send(12s, total_load(chosen));
     return fleet;
 }
 
-/// Of what the limit lets through in so many seconds, the part that came.
+/// Requests received in the last `length`, as a fraction of the limit.
 double used_share(
     const limited_fleet& fleet,
     const limited_fleet::options& chosen,
@@ -61,12 +62,13 @@
 
 } // namespace
 
-/// Guards against 28 requests in 4 s where 16 were allowed.
+/// Guards against routers that together exceed a server's limit: 28 requests in
+/// 4 s where 16 were allowed.
 Test(limited_fleet, all_routers_together_keep_a_server_within_its_limit)
 {
     for (const std::size_t routers : {7, 65, 300})
     {
-        const auto chosen = sized(routers);
+        const auto chosen = make_options(routers);
         const limited_fleet fleet = make_limited(chosen);
         assert_in_bounds(fleet);
         const double used = used_share(fleet, chosen, 8s);
@@ -75,51 +77,56 @@
     }
 }
 
-Test(limited_fleet, lost_words_leave_the_sum_within_the_limit)
+Test(limited_fleet, message_loss_breaks_no_limit)
 {
     for (const std::uint64_t seed : {1, 2, 3, 4, 5})
     {
-        auto chosen = sized(65);
+        auto chosen = make_options(65);
         chosen.loss = 0.1;
         chosen.seed = seed;
         assert_in_bounds(make_limited(chosen));
     }
 }
 
-Test(limited_fleet, a_very_slow_server_still_gets_some)
+Test(limited_fleet, a_server_with_a_very_low_limit_still_gets_requests)
 {
-    const auto chosen = sized(65, 0.2);
+    const auto chosen = make_options(65, 0.2);
     limited_fleet fleet = make_limited(chosen);
-    fleet.send(20s, load_of(chosen));
+    fleet.send(20s, total_load(chosen));
     assert_in_bounds(fleet);
     cr_assert_gt(fleet.arrived_within(20s), 0);
 }
 
-Test(limited_fleet, once_the_limit_ends_its_server_gets_its_whole_part_again)
+Test(limited_fleet, after_the_limit_ends_the_server_gets_its_full_load_again)
 {
     for (const std::size_t routers : {7, 65, 300})
     {
-        const auto chosen = sized(routers);
+        const auto chosen = make_options(routers);
         limited_fleet fleet = make_limited(chosen);
-        fleet.name_limit(false);
-        fleet.send(2s, load_of(chosen));
-        fleet.send(4s, load_of(chosen));
+        fleet.announce_limit(false);
+        fleet.send(2s, total_load(chosen));
+        fleet.send(4s, total_load(chosen));
         const auto arrived = static_cast<double>(fleet.arrived_within(4s));
         cr_assert_gt(
-            arrived, 0.7 * 4 * usual, "%zu: %.0f in 4 s", routers, arrived);
+            arrived,
+            0.7 * 4 * load_per_engine,
+            "%zu: %.0f in 4 s",
+            routers,
+            arrived);
     }
 }
 
-/// A rare model: its only engine is limited, and few routers have its callers.
+/// A rare model: its only engine is limited, and only few routers have callers
+/// for it.
 Test(limited_fleet, the_only_engine_of_a_model_is_used_up_to_its_limit)
 {
     for (const std::size_t routers : {7, 65, 300})
     {
-        auto chosen = sized(routers, 2);
+        auto chosen = make_options(routers, 2);
         chosen.engines = 1;
         limited_fleet fleet(chosen);
         fleet.send(warm_up, 1, 3);
-        fleet.name_limit(true);
+        fleet.announce_limit(true);
         fleet.send(20s, 4, 3);
         assert_in_bounds(fleet);
         const double used = used_share(fleet, chosen, 15s);
@@ -127,15 +134,15 @@
     }
 }
 
-/// Each of the router that counts and any other one.
-Test(limited_fleet, a_router_that_freezes_breaks_no_limit)
+/// Covers the accountant, another possible accountant and a plain router.
+Test(limited_fleet, a_suspended_router_breaks_no_limit)
 {
     for (const std::size_t frozen : {0, 1, 8})
     {
-        const auto chosen = sized(9);
+        const auto chosen = make_options(9);
         limited_fleet fleet = make_limited(chosen);
         fleet.freeze(frozen, 3s);
-        fleet.send(8s, load_of(chosen));
+        fleet.send(8s, total_load(chosen));
         assert_in_bounds(fleet);
         cr_assert_gt(used_share(fleet, chosen, 4s), 0.4);
     }
@@ -143,12 +150,12 @@
 
 Test(limited_fleet, restarts_one_after_another_break_no_limit)
 {
-    const auto chosen = sized(9);
+    const auto chosen = make_options(9);
     limited_fleet fleet = make_limited(chosen);
     for (std::size_t i = 0; i < chosen.routers; ++i)
     {
         fleet.restart(i);
-        fleet.send(1s, load_of(chosen));
+        fleet.send(1s, total_load(chosen));
     }
     assert_in_bounds(fleet);
 }
@@ -157,18 +164,18 @@
 {
     for (const std::size_t routers : {9, 300})
     {
-        const auto chosen = sized(routers);
+        const auto chosen = make_options(routers);
         limited_fleet fleet = make_limited(chosen);
         for (std::size_t i = 0; i < chosen.routers; ++i)
             fleet.restart(i);
-        fleet.send(8s, load_of(chosen));
+        fleet.send(8s, total_load(chosen));
         assert_in_bounds(fleet);
     }
 }
 
-Test(limited_fleet, routers_that_are_cut_off_keep_to_their_part)
+Test(limited_fleet, routers_that_are_cut_off_keep_to_their_share)
 {
-    const auto chosen = sized(9);
+    const auto chosen = make_options(9);
     limited_fleet fleet = make_limited(chosen);
     const auto side = [](std::size_t router)
     {
@@ -178,32 +185,32 @@
     {
         return side(from) == side(to);
     };
-    fleet.send(10s, load_of(chosen));
+    fleet.send(10s, total_load(chosen));
     assert_in_bounds(fleet);
 }
 
-Test(limited_fleet, a_counting_router_cut_off_in_one_direction_breaks_no_limit)
+Test(limited_fleet, an_accountant_cut_off_in_one_direction_breaks_no_limit)
 {
     for (const bool hears : {false, true})
     {
-        const auto chosen = sized(9);
+        const auto chosen = make_options(9);
         limited_fleet fleet = make_limited(chosen);
         fleet.reaches = [hears](std::size_t from, std::size_t to)
         {
             return (hears ? from : to) != 0;
         };
-        fleet.send(10s, load_of(chosen));
+        fleet.send(10s, total_load(chosen));
         assert_in_bounds(fleet);
     }
 }
 
-Test(limited_fleet, requests_that_the_limit_leaves_no_room_for_are_refused)
+Test(limited_fleet, requests_beyond_the_limit_are_refused)
 {
-    auto chosen = sized(9, 0.5);
+    auto chosen = make_options(9, 0.5);
     chosen.engines = 1;
     limited_fleet fleet(chosen);
     fleet.send(warm_up, 1);
-    fleet.name_limit(true);
+    fleet.announce_limit(true);
     fleet.send(20s, 6);
     assert_in_bounds(fleet);
     cr_assert_gt(fleet.refused(), 60);
--- a/tests/unit/server_limits/test_limited_server.cpp
+++ b/tests/unit/server_limits/test_limited_server.cpp
@@ -11,20 +11,20 @@
 namespace
 {
 
-/// One request in a hundred seconds: no more than the first ones pass while a
-/// test runs.
-constexpr std::string_view limited =
+/// Announces a limit of one request per 100 s, so only the first few requests
+/// pass during the test.
+constexpr std::string_view limited_answer =
     "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nResponse-Seal: 3e1b\r\n"
     "Server-Limit: 0.01\r\nContent-Length: 5\r\n\r\nhello";
 
-/// What is allowed beside one and a half times the limit.
-constexpr int slack = 5;
+/// Number of requests allowed on top of 1.5 times the limit.
+constexpr int max_requests = 5;
 
 } // namespace
 
-/// Guards against more requests than a server had named, from a router that it
-/// had told.
-Test(server_limits, a_server_that_named_a_limit_gets_no_more_than_it)
+/// Guards against a router that exceeds a limit although the server announced
+/// it to that router.
+Test(server_limits, a_router_keeps_to_an_announced_limit)
 {
     std::atomic<int> requests = 0;
     fake_backend backend(
@@ -33,12 +33,12 @@
             while (!peer.read_request().empty())
             {
                 ++requests;
-                peer.send(limited);
+                peer.send(limited_answer);
             }
         });
     forward_fixture test({&backend});
     constexpr int sent = 30;
     for (int i = 0; i < sent; ++i)
         test.exchange(test.request("GET", "/again/x"));
-    cr_assert_leq(requests, slack, "%d requests", requests.load());
+    cr_assert_leq(requests, max_requests, "%d requests", requests.load());
 }
--- a/tests/unit/serving/serving_fixture.hpp
+++ b/tests/unit/serving/serving_fixture.hpp
@@ -10,30 +10,30 @@
 
 using namespace std::chrono_literals;
 
-/// One engine service `llm` with models m1 (two adapters) and m2, and a plain
-/// service `app`.
+/// A configuration with an engine service `llm`, which has the models m1 (two
+/// adapters) and m2, and a plain service `app`.
 inline std::shared_ptr<deployment> make_deployment(std::uint64_t version)
 {
-    auto made = std::make_shared<deployment>();
-    made->version = version;
+    auto configuration = std::make_shared<deployment>();
+    configuration->version = version;
     service_profile llm;
     llm.name = "llm";
     engine_profile& engine = llm.engine.emplace();
     engine.slots = 24;
     engine.memory_mb = 200;
     engine.adapter_slots = 2;
-    model_profile one;
-    one.name = "m1";
-    one.memory_mb = 70;
-    one.adapters = 2;
-    model_profile two;
-    two.name = "m2";
-    two.memory_mb = 40;
-    engine.models = {one, two};
+    model_profile first_model;
+    first_model.name = "m1";
+    first_model.memory_mb = 70;
+    first_model.adapters = 2;
+    model_profile second_model;
+    second_model.name = "m2";
+    second_model.memory_mb = 40;
+    engine.models = {first_model, second_model};
     service_profile app;
     app.name = "app";
-    made->services = {llm, app};
-    return made;
+    configuration->services = {llm, app};
+    return configuration;
 }
 
 inline server_entry make_engine(std::string id, std::string model)
--- a/tests/unit/serving/test_organisation_changes.cpp
+++ b/tests/unit/serving/test_organisation_changes.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(organisation_changes, counts_keys_and_limits_and_names_dropped_ones)
+Test(organisation_changes, counts_changed_keys_and_limits_and_lists_dropped_keys)
 {
     deployment before;
     before.organisations = {
@@ -38,7 +38,7 @@
     cr_assert_not(compare_organisations(&now, now).any());
 }
 
-Test(organisation_changes, a_first_configuration_adds_all)
+Test(organisation_changes, a_first_configuration_adds_all_keys)
 {
     deployment now;
     cr_assert_not(compare_organisations(nullptr, now).any());
@@ -46,7 +46,7 @@
     cr_assert_eq(compare_organisations(nullptr, now).keys_added, 1);
 }
 
-Test(organisation_changes, names_a_few_of_many_dropped_keys)
+Test(organisation_changes, lists_only_a_few_of_many_dropped_keys)
 {
     deployment before;
     std::vector<key_digest> keys;
--- a/tests/unit/serving/test_organisation_index.cpp
+++ b/tests/unit/serving/test_organisation_index.cpp
@@ -7,26 +7,28 @@
 
 using namespace roseworks;
 
-Test(organisation_index, finds_the_holder_among_as_many_keys_as_planned_for)
+Test(
+    organisation_index, finds_the_organisation_among_the_planned_number_of_keys)
 {
-    constexpr std::size_t holders = 870;
+    constexpr std::size_t organisation_count = 870;
     constexpr std::size_t keys_each = 100;
     auto config = std::make_shared<deployment>();
     config->organisations.emplace();
-    const auto key = [](std::size_t holder, std::size_t number)
+    const auto key = [](std::size_t organisation_number, std::size_t number)
     {
-        return std::to_string(holder) + "-" + std::to_string(number);
+        return std::to_string(organisation_number) + "-" +
+               std::to_string(number);
     };
-    for (std::size_t i = 0; i < holders; ++i)
+    for (std::size_t i = 0; i < organisation_count; ++i)
     {
-        organisation& one = config->organisations->emplace_back();
-        one.name = "o" + std::to_string(i);
+        organisation& entry = config->organisations->emplace_back();
+        entry.name = "o" + std::to_string(i);
         for (std::size_t j = 0; j < keys_each; ++j)
-            one.keys.push_back(digest_of(key(i, j)));
+            entry.keys.push_back(digest_of(key(i, j)));
     }
     const organisation_index index(config);
-    cr_assert_eq(index.keys(), holders * keys_each);
-    for (std::size_t i = 0; i < holders; ++i)
+    cr_assert_eq(index.keys(), organisation_count * keys_each);
+    for (std::size_t i = 0; i < organisation_count; ++i)
     {
         for (std::size_t j = 0; j < keys_each; ++j)
         {
@@ -44,7 +46,7 @@
     cr_assert_null(index.find(digest_of("any")));
 }
 
-Test(organisation_index, a_key_is_named_in_logs_by_a_few_digits_of_its_digest)
+Test(organisation_index, a_fingerprint_is_a_few_digits_of_the_digest)
 {
     const key_digest digest = digest_of("key-one");
     cr_assert_eq(fingerprint_of(digest).size(), 8);
--- a/tests/unit/serving/test_route_index.cpp
+++ b/tests/unit/serving/test_route_index.cpp
@@ -45,7 +45,7 @@
     cr_assert_null(index.find("one.example", "/"));
 }
 
-Test(route_index, a_query_and_a_port_and_letters_case_do_not_matter)
+Test(route_index, ignores_the_query_the_port_and_the_case_of_the_host)
 {
     const route_index index = make_index();
     cr_assert_eq(index.find("One.Example:8080", "/a/b/c?d=/x/")->name, "long");
@@ -72,15 +72,16 @@
     cr_assert_eq(counts[1], 100);
 }
 
-Test(choose_service, a_route_without_weight_has_none)
+Test(choose_service, a_route_without_weight_has_no_service)
 {
     path_route route = make_route("r", "h", "/");
     route.services = {{"x", 0}};
     cr_assert(choose_service(route, 7).empty());
 }
 
-/// A request that waits for longer is worth nothing to its caller.
-Test(path_route, a_streams_caller_leaves_before_its_time_limit)
+/// Guards against requests that wait longer than their caller does, whose
+/// answers nobody reads.
+Test(path_route, a_streams_caller_waits_less_than_its_time_limit)
 {
     path_route route;
     route.kind = request_kind::streaming;
@@ -98,8 +99,8 @@
     cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
 }
 
-/// A plain request's time limit is its own: nothing is taken off it.
-Test(path_route, only_a_stream_that_can_not_go_on_is_bounded_by_patience)
+/// Guards against a shortened time limit for requests that aren't streams.
+Test(path_route, only_a_stream_that_can_not_resume_has_a_shorter_wait)
 {
     path_route route;
     route.timeout = std::chrono::seconds(13);
--- a/tests/unit/serving/test_serving_view.cpp
+++ b/tests/unit/serving/test_serving_view.cpp
@@ -15,7 +15,7 @@
 }
 
 std::size_t
-places(const serving_view& view, std::string_view model, instant now)
+engine_count(const serving_view& view, std::string_view model, instant now)
 {
     const auto* entry =
         table_of(view, now)->find_servable(servable_key("llm", model));
@@ -24,13 +24,13 @@
 }
 
 engine_residency
-told(std::string engine, std::uint64_t tenure, std::uint64_t revision)
+make_report(std::string engine, std::uint64_t tenure, std::uint64_t revision)
 {
-    engine_residency word;
-    word.engine = std::move(engine);
-    word.tenure = tenure;
-    word.revision = revision;
-    return word;
+    engine_residency report;
+    report.engine = std::move(engine);
+    report.tenure = tenure;
+    report.revision = revision;
+    return report;
 }
 
 serving_view make_view()
@@ -62,15 +62,15 @@
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
     view.entry_read(make_engine("e22", "m2"));
-    cr_assert_eq(places(view, "m1", at(0s)), 1);
-    cr_assert_eq(places(view, "m2", at(0s)), 1);
-    cr_assert_eq(places(view, "m1/a1", at(0s)), 0);
+    cr_assert_eq(engine_count(view, "m1", at(0s)), 1);
+    cr_assert_eq(engine_count(view, "m2", at(0s)), 1);
+    cr_assert_eq(engine_count(view, "m1/a1", at(0s)), 0);
     cr_assert_null(table_of(view, at(0s))->find_servable("llm/unknown"));
 }
 
-/// The owner's word leaves out what an engine has on its disk: a router that
-/// follows the owner loads from there.
-Test(serving_view, a_word_without_copies_keeps_those_known)
+/// Messages from other routers omit the weights on an engine's disk. A router
+/// that becomes the owner needs them to load from disk.
+Test(serving_view, an_entry_without_copies_keeps_the_known_copies)
 {
     serving_view view = make_view();
     server_entry entry = make_engine("e1", "m1");
@@ -79,7 +79,7 @@
     entry.holdings = {{{"m2", {}}}, {}, {}, false};
     cr_assert(view.entry_read(entry));
     cr_assert_not(view.entry_read(entry));
-    cr_assert_eq(places(view, "m2", at(0s)), 1);
+    cr_assert_eq(engine_count(view, "m2", at(0s)), 1);
     const engine_holdings& kept =
         view.servers().find("e1")->second.entry.holdings;
     cr_assert_eq(kept.on_disk.size(), 2);
@@ -98,7 +98,7 @@
     cr_assert_null(table_of(view, at(0s))->find_service("unheard"));
 }
 
-Test(serving_view, a_leaving_server_gets_nothing_new)
+Test(serving_view, a_leaving_server_gets_no_new_requests)
 {
     serving_view view = make_view();
     server_entry entry = make_plain("p1");
@@ -110,7 +110,7 @@
     cr_assert(table_of(view, at(1s))->find_service("app")->backends.empty());
 }
 
-Test(serving_view, an_entry_that_lapsed_while_the_registry_was_away_is_kept)
+Test(serving_view, an_entry_that_expired_during_a_registry_outage_is_kept)
 {
     serving_view view = make_view();
     view.entry_read(make_plain("p1"));
@@ -123,7 +123,7 @@
         table_of(view, at(12s + 300ms))->find_service("app")->backends.empty());
 }
 
-Test(serving_view, an_entry_that_is_back_in_time_stays)
+Test(serving_view, an_entry_that_registers_again_in_time_stays)
 {
     serving_view view = make_view();
     view.entry_read(make_plain("p1"));
@@ -135,7 +135,7 @@
         table_of(view, at(13s))->find_service("app")->backends.size(), 1);
 }
 
-Test(serving_view, at_other_times_a_removed_entry_is_gone_at_once)
+Test(serving_view, without_an_outage_a_removed_entry_is_gone_at_once)
 {
     serving_view view = make_view();
     view.entry_read(make_plain("p1"));
@@ -152,7 +152,7 @@
     cr_assert(view.servers().contains("e1"));
 }
 
-Test(serving_view, a_server_that_started_anew_is_another_run)
+Test(serving_view, a_restarted_server_is_another_run)
 {
     serving_view view = make_view();
     server_entry entry = make_engine("e1", "m1");
@@ -164,85 +164,85 @@
     cr_assert_neq(view.servers().at("e1").run, first);
     cr_assert_eq(view.servers().at("e1").engine, engine_id(1));
     entry.born_ms = 100;
-    cr_assert_not(view.entry_read(entry), "an older run's, late");
+    cr_assert_not(view.entry_read(entry), "a late entry of an older run");
     cr_assert_eq(view.servers().at("e1").entry.born_ms, 200);
 }
 
-Test(serving_view, the_owners_word_goes_before_the_entry)
+Test(serving_view, the_owners_report_precedes_the_entry)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    engine_residency word = told("e1", 7, 1);
-    word.resident = {{"m2", {}}};
-    cr_assert(view.update_residency(word, at(1s)));
-    cr_assert_eq(places(view, "m1", at(1s)), 0);
-    cr_assert_eq(places(view, "m2", at(1s)), 1);
+    engine_residency report = make_report("e1", 7, 1);
+    report.resident = {{"m2", {}}};
+    cr_assert(view.update_residency(report, at(1s)));
+    cr_assert_eq(engine_count(view, "m1", at(1s)), 0);
+    cr_assert_eq(engine_count(view, "m2", at(1s)), 1);
 }
 
-Test(serving_view, an_older_word_and_an_older_owner_change_nothing)
+Test(serving_view, reports_of_an_older_revision_or_owner_are_ignored)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    engine_residency word = told("e1", 7, 5);
-    word.resident = {{"m2", {}}};
-    view.update_residency(word, at(1s));
-    cr_assert_not(view.update_residency(told("e1", 7, 4), at(1s)));
-    cr_assert_not(view.update_residency(told("e1", 6, 9), at(1s)));
-    cr_assert_eq(places(view, "m2", at(1s)), 1);
-    cr_assert(view.update_residency(told("e1", 8, 1), at(1s)));
-    cr_assert_eq(places(view, "m2", at(1s)), 0);
+    engine_residency report = make_report("e1", 7, 5);
+    report.resident = {{"m2", {}}};
+    view.update_residency(report, at(1s));
+    cr_assert_not(view.update_residency(make_report("e1", 7, 4), at(1s)));
+    cr_assert_not(view.update_residency(make_report("e1", 6, 9), at(1s)));
+    cr_assert_eq(engine_count(view, "m2", at(1s)), 1);
+    cr_assert(view.update_residency(make_report("e1", 8, 1), at(1s)));
+    cr_assert_eq(engine_count(view, "m2", at(1s)), 0);
 }
 
-Test(serving_view, word_of_another_run_of_the_engine_is_dropped)
+Test(serving_view, a_report_on_another_run_of_the_engine_is_ignored)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    engine_residency word = told("e1", 7, 1);
-    word.born_ms = 55;
-    cr_assert_not(view.update_residency(word, at(1s)));
-    cr_assert_eq(places(view, "m1", at(1s)), 1);
+    engine_residency report = make_report("e1", 7, 1);
+    report.born_ms = 55;
+    cr_assert_not(view.update_residency(report, at(1s)));
+    cr_assert_eq(engine_count(view, "m1", at(1s)), 1);
 }
 
-Test(serving_view, an_owner_that_fell_silent_leaves_the_entries_to_count)
+Test(serving_view, entries_apply_again_when_the_owner_stops_reporting)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    view.update_residency(told("e1", 7, 1), at(1s));
-    cr_assert_eq(places(view, "m1", at(2s)), 0);
+    view.update_residency(make_report("e1", 7, 1), at(1s));
+    cr_assert_eq(engine_count(view, "m1", at(2s)), 0);
     cr_assert(view.tick(at(5s + 1ms)));
-    cr_assert_eq(places(view, "m1", at(5s + 1ms)), 1);
+    cr_assert_eq(engine_count(view, "m1", at(5s + 1ms)), 1);
 }
 
-/// The owner tells of a load when it is about to end.
-Test(serving_view, a_model_told_of_just_now_and_refused_is_asked_for_again_soon)
+/// The owner reports a load shortly before it finishes.
+Test(serving_view, a_refusal_of_a_just_reported_model_expires_soon)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m2"));
-    engine_residency word = told("e1", 7, 1);
-    word.resident = {{"m1", {}}};
-    view.update_residency(word, at(1s));
+    engine_residency report = make_report("e1", 7, 1);
+    report.resident = {{"m1", {}}};
+    view.update_residency(report, at(1s));
     cr_assert(view.mark_refused("e1", servable_key("llm", "m1"), at(1s)));
-    cr_assert_eq(places(view, "m1", at(1s)), 0);
+    cr_assert_eq(engine_count(view, "m1", at(1s)), 0);
     cr_assert(view.tick(at(1s + 150ms)));
-    cr_assert_eq(places(view, "m1", at(1s + 150ms)), 1);
+    cr_assert_eq(engine_count(view, "m1", at(1s + 150ms)), 1);
 }
 
-/// Requests for rare models were sent to one engine that had unloaded them
-/// three times within half a second, and refused then.
-Test(serving_view, what_outdated_knowledge_was_wrong_of_waits_for_newer_word)
+/// Guards against requests for rare models that were sent three times within
+/// half a second to an engine that had unloaded the model, and then refused.
+Test(serving_view, a_refusal_due_to_outdated_data_lasts_longer)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
-    engine_residency word = told("e2", 7, 1);
-    word.resident = {{"m1", {}}};
+    engine_residency report = make_report("e2", 7, 1);
+    report.resident = {{"m1", {}}};
     view.entry_read(make_engine("e2", "m2"));
-    view.update_residency(word, at(1s));
+    view.update_residency(report, at(1s));
     for (const char* engine : {"e1", "e2"})
         view.mark_refused(engine, servable_key("llm", "m1"), at(3s));
     view.tick(at(3s + 900ms));
-    cr_assert_eq(places(view, "m1", at(3s + 900ms)), 0);
+    cr_assert_eq(engine_count(view, "m1", at(3s + 900ms)), 0);
     cr_assert(view.tick(at(4s)));
-    cr_assert_eq(places(view, "m1", at(4s)), 2);
+    cr_assert_eq(engine_count(view, "m1", at(4s)), 2);
 }
 
 Test(serving_view, an_entry_with_other_models_ends_a_refusal)
@@ -253,23 +253,24 @@
     server_entry entry = make_engine("e1", "m1");
     entry.holdings.resident.push_back({"m2", {}});
     view.entry_read(entry);
-    cr_assert_eq(places(view, "m1", at(1s + 10ms)), 1);
+    cr_assert_eq(engine_count(view, "m1", at(1s + 10ms)), 1);
 }
 
-Test(serving_view, newer_word_ends_a_refusal)
+Test(serving_view, a_newer_report_ends_a_refusal)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
     view.mark_refused("e1", servable_key("llm", "m1"), at(1s));
-    engine_residency word = told("e1", 7, 1);
-    word.resident = {{"m1", {"a2"}}};
-    cr_assert(view.update_residency(word, at(1s + 10ms)));
-    cr_assert_eq(places(view, "m1", at(1s + 10ms)), 1);
-    cr_assert_eq(places(view, "m1/a2", at(1s + 10ms)), 1);
+    engine_residency report = make_report("e1", 7, 1);
+    report.resident = {{"m1", {"a2"}}};
+    cr_assert(view.update_residency(report, at(1s + 10ms)));
+    cr_assert_eq(engine_count(view, "m1", at(1s + 10ms)), 1);
+    cr_assert_eq(engine_count(view, "m1/a2", at(1s + 10ms)), 1);
 }
 
-/// Its orders and requests would be refused for the other run's id.
-Test(serving_view, a_run_that_another_followed_at_its_address_is_not_used)
+/// Its orders and requests would be refused, as the server there has another
+/// id.
+Test(serving_view, a_superseded_run_at_the_same_address_is_not_used)
 {
     serving_view view = make_view();
     server_entry old = make_engine("e1", "m1");
@@ -280,16 +281,16 @@
     view.entry_read(next);
     cr_assert(view.entry_read(old));
     cr_assert(view.servers().at("e1").superseded);
-    cr_assert_eq(places(view, "m1", at(1s)), 0);
-    cr_assert_eq(places(view, "m2", at(1s)), 1);
+    cr_assert_eq(engine_count(view, "m1", at(1s)), 0);
+    cr_assert_eq(engine_count(view, "m2", at(1s)), 1);
     const auto* there = table_of(view, at(1s))->find_server(old.address);
     cr_assert_eq(there->instance, "e2");
     view.entry_removed("e2", at(2s));
     cr_assert_not(view.servers().at("e1").superseded);
 }
 
-/// A listing in pages that took its time tells what was before.
-Test(serving_view, an_older_word_of_a_server_changes_nothing)
+/// A slow paged listing can return outdated entries.
+Test(serving_view, an_older_entry_of_a_server_changes_nothing)
 {
     serving_view view = make_view();
     server_entry entry = make_engine("e1", "m1");
@@ -302,7 +303,7 @@
     cr_assert(view.servers().at("e1").entry.leaving);
 }
 
-Test(serving_view, the_run_that_was_heard_last_is_the_one_that_runs)
+Test(serving_view, the_run_with_the_highest_revision_is_used)
 {
     serving_view view = make_view();
     server_entry first = make_engine("e1", "m1");
@@ -313,26 +314,26 @@
     view.entry_read(first);
     view.entry_read(second);
     cr_assert(view.servers().at("e2").superseded);
-    second.registry_revision = 110; // says the same as before
+    second.registry_revision = 110; // otherwise unchanged
     cr_assert(view.entry_read(second));
     cr_assert_not(view.servers().at("e2").superseded);
     cr_assert(view.servers().at("e1").superseded);
 }
 
-/// Else each request that is granted there waits for a connection in vain.
-Test(serving_view, an_engine_that_can_not_be_reached_gets_nothing_for_a_while)
+/// Otherwise each request sent there waits for the connect timeout.
+Test(serving_view, an_unreachable_engine_gets_no_requests_for_a_while)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
     cr_assert_eq(*view.mark_unreachable("e1", at(1s)), at(1s + 500ms));
     cr_assert(!view.mark_unreachable("e1", at(1s + 10ms)));
     view.tick(at(1s + 499ms));
-    cr_assert_eq(places(view, "m1", at(1s + 499ms)), 0);
+    cr_assert_eq(engine_count(view, "m1", at(1s + 499ms)), 0);
     cr_assert(view.tick(at(1s + 500ms)));
-    cr_assert_eq(places(view, "m1", at(1s + 500ms)), 1);
+    cr_assert_eq(engine_count(view, "m1", at(1s + 500ms)), 1);
 }
 
-Test(serving_view, one_that_stays_unreachable_gets_nothing_for_longer)
+Test(serving_view, the_back_off_of_an_unreachable_engine_doubles)
 {
     serving_view view = make_view();
     view.entry_read(make_engine("e1", "m1"));
@@ -347,8 +348,8 @@
     cr_assert_eq(*view.mark_unreachable("e1", now) - now, 500ms);
 }
 
-/// A plain service has no other place to go to: its requests try their luck.
-Test(serving_view, a_plain_server_that_can_not_be_reached_stays_listed)
+/// Requests of a plain service may have no alternative server.
+Test(serving_view, an_unreachable_plain_server_stays_listed)
 {
     serving_view view = make_view();
     view.entry_read(make_plain("s1"));
@@ -357,7 +358,7 @@
         table_of(view, at(1s))->find_service("app")->backends.size(), 1);
 }
 
-Test(serving_table, tells_who_answers_at_an_address)
+Test(serving_table, finds_the_server_at_an_address)
 {
     serving_view view = make_view();
     view.entry_read(make_plain("p1"));
@@ -368,8 +369,8 @@
     cr_assert_not(table->has_engines("app"));
 }
 
-/// Of a model that no engine has, and of its adapters.
-Test(serving_view, what_the_owner_expects_is_in_the_table_until_it_falls_silent)
+/// Applies to a model that no engine has, and to its adapters.
+Test(serving_view, expected_load_times_expire_when_the_owner_stops_sending_them)
 {
     serving_view view = make_view();
     const std::string model = servable_key("llm", "m1");
