--- a/src/core/quota/quota_accountant.hpp
+++ b/src/core/quota/quota_accountant.hpp
@@ -22,9 +22,9 @@
     once. Its requests within the limit must still be served.
 
     Each router reports to one accountant. An accountant grants the share of
-   each limit that belongs to its routers, out of all known routers. So the
-   grants of two concurrent accountants, and of routers without an accountant,
-   add up to the limit. Buckets start empty because earlier usage isn't known.
+    each limit that belongs to its routers, out of all known routers. So the
+    grants of two concurrent accountants, and of routers without an accountant,
+    add up to the limit. Buckets start empty because earlier usage isn't known.
 */
 class quota_accountant
 {
@@ -67,10 +67,10 @@
     struct router
     {
         instant contact_until;
-        instant counted_from =
-            instant::max(); ///< until then another accountant counts it
-        std::deque<quota_result>
-            recent_results; ///< latest allowed draws, newest first
+        /// Another accountant counts it until then.
+        instant counted_from = instant::max();
+        /// Latest allowed draws, newest first.
+        std::deque<quota_result> recent_results;
     };
 
     quota_result evaluate(const quota_draw& draw, router& from);
--- a/src/core/quota/token_bucket.hpp
+++ b/src/core/quota/token_bucket.hpp
@@ -13,7 +13,7 @@
 
     A request that can wait takes its tokens at once, and the level may become
     negative. The request is sent after the returned wait. So it isn't starved
-   by requests that can't wait: those are refused meanwhile.
+    by requests that can't wait: those are refused meanwhile.
 */
 class token_bucket
 {
--- a/src/core/serving/deployment.hpp
+++ b/src/core/serving/deployment.hpp
@@ -38,11 +38,10 @@
     std::string host;
     std::string path_prefix; ///< begins and ends with a slash
     request_kind kind = request_kind::non_idempotent;
-    duration timeout{};   ///< time limit of a request
-    duration objective{}; ///< target time for the answer or the first event
-    duration
-        max_event_gap{};   ///< longest expected gap between events of a stream
-    std::uint8_t rank = 0; ///< 0 is the highest priority
+    duration timeout{};       ///< time limit of a request
+    duration objective{};     ///< target time for the answer or the first event
+    duration max_event_gap{}; ///< longest gap between events of a stream
+    std::uint8_t rank = 0;    ///< 0 is the highest priority
     std::uint32_t max_attempts = 1; ///< backend servers tried per request
     bool resumable = false;         ///< a stream may resume on another server
     bool allow_anonymous = false;   ///< callers need no API key
--- a/src/core/serving/holdings_report.hpp
+++ b/src/core/serving/holdings_report.hpp
@@ -11,12 +11,11 @@
 /// milliseconds.
 struct holdings_report
 {
-    std::int64_t born_ms = 0; ///< 0: not reported
-    bool busy = false;        ///< an order is in progress
-    std::uint64_t orders_taken =
-        0;                     ///< orders accepted since the engine's start
-    std::uint32_t running = 0; ///< requests in progress
-    std::uint32_t waiting = 0; ///< queued requests
+    std::int64_t born_ms = 0;       ///< 0: not reported
+    bool busy = false;              ///< an order is in progress
+    std::uint64_t orders_taken = 0; ///< accepted since the engine's start
+    std::uint32_t running = 0;      ///< requests in progress
+    std::uint32_t waiting = 0;      ///< queued requests
     engine_holdings holdings;
 };
 
--- a/src/core/serving/organisation.hpp
+++ b/src/core/serving/organisation.hpp
@@ -28,8 +28,7 @@
     std::uint8_t rank = 0; ///< 0 is the highest; precedes the route's rank
     std::optional<usage_limit> limit; ///< empty: unlimited
     bool counts_tokens = false; ///< the limit is in tokens, not in requests
-    std::uint64_t default_tokens =
-        0; ///< cost of a request that states no number
+    std::uint64_t default_tokens = 0; ///< if a request states no number
 
     /// @param tokens Number of tokens that the request states, if any.
     /// @return       Cost of the request, in the unit of the limit.
--- a/src/core/serving/organisation_changes.hpp
+++ b/src/core/serving/organisation_changes.hpp
@@ -14,8 +14,7 @@
     std::size_t keys_added = 0;
     std::size_t keys_dropped = 0;
     std::size_t limits_changed = 0;
-    std::string
-        dropped_fingerprints; ///< fingerprints of the first few dropped keys
+    std::string dropped_fingerprints; ///< of the first few dropped keys
 
     bool any() const
     {
--- a/src/core/serving/server_entry.hpp
+++ b/src/core/serving/server_entry.hpp
@@ -34,8 +34,8 @@
 /** The registry entry of a backend server, written by the server itself.
 
     The source is untrusted: the decoder validates each field, and the data
-   stays advisory. A server that restarts with the same id has another
-   `born_ms`.
+    stays advisory. A server that restarts with the same id has another
+    `born_ms`.
 */
 struct server_entry
 {
--- a/src/core/serving/serving_table.hpp
+++ b/src/core/serving/serving_table.hpp
@@ -50,8 +50,8 @@
         std::shared_ptr<const servable_catalogue> catalogue;
         std::unordered_map<std::string, servable_routes> resident;
         std::unordered_map<std::string, service_routes> services;
-        std::unordered_map<std::string, server_identity>
-            servers; ///< by address
+        /// Servers by address.
+        std::unordered_map<std::string, server_identity> servers;
         /// Number of engines by service.
         std::unordered_map<std::string, std::uint16_t> engines;
         std::unordered_set<fingerprint> blocked;
--- a/tests/unit/serving/test_serving_view.cpp
+++ b/tests/unit/serving/test_serving_view.cpp
@@ -348,7 +348,8 @@
     cr_assert_eq(*view.mark_unreachable("e1", now) - now, 500ms);
 }
 
-/// Requests of a plain service may have no alternative server.
+/// Requests of a plain service may have no alternative server, so they still
+/// try this one.
 Test(serving_view, an_unreachable_plain_server_stays_listed)
 {
     serving_view view = make_view();
