--- a/tests/unit/serving/test_organisation_changes.cpp
+++ b/tests/unit/serving/test_organisation_changes.cpp
@@ -19,7 +19,8 @@
 
 } // namespace
 
-Test(organisation_changes, counts_changed_keys_and_limits_and_lists_dropped_keys)
+Test(
+    organisation_changes, counts_changed_keys_and_limits_and_lists_dropped_keys)
 {
     deployment before;
     before.organisations = {
