--- a/src/core/serving/serving_view.cpp
+++ b/src/core/serving/serving_view.cpp
@@ -15,7 +15,7 @@
 
 /// Initial estimate of the time until a model that no engine has can run: the
 /// wait for a free engine and the load from its disk.
-constexpr std::uint32_t first_cold_estimate_ms = 1000;
+constexpr std::uint32_t initial_load_estimate_ms = 1000;
 
 /// Requests that this router sends to a plain backend server beyond its slots.
 /// The server queues a few, and slots become free while a request is in
@@ -24,8 +24,8 @@
 
 std::uint16_t clamp_to_uint16(std::size_t value)
 {
-    constexpr std::size_t most = std::numeric_limits<std::uint16_t>::max();
-    return static_cast<std::uint16_t>(std::min(value, most));
+    constexpr std::size_t max = std::numeric_limits<std::uint16_t>::max();
+    return static_cast<std::uint16_t>(std::min(value, max));
 }
 
 /// Keeps the known copies when an update omits them.
@@ -54,9 +54,9 @@
 
 void serving_view::build_catalogue()
 {
-    auto made = std::make_shared<servable_catalogue>();
-    made->routes = std::make_shared<route_index>(this->configuration);
-    made->organisations =
+    auto updated = std::make_shared<servable_catalogue>();
+    updated->routes = std::make_shared<route_index>(this->configuration);
+    updated->organisations =
         std::make_shared<organisation_index>(this->configuration);
     const auto add = [&](std::string key, bool is_adapter, std::size_t slots)
     {
@@ -66,18 +66,18 @@
                 static_cast<std::uint32_t>(this->servable_ids.size()));
         servable_routes cold;
         cold.id = id;
-        cold.load_estimate_ms = first_cold_estimate_ms;
+        cold.load_estimate_ms = initial_load_estimate_ms;
         cold.max_streams = clamp_to_uint16(slots);
         cold.max_replicas = 1;
         cold.is_adapter = is_adapter;
         cold.name = key;
-        made->servables.emplace(std::move(key), std::move(cold));
+        updated->servables.emplace(std::move(key), std::move(cold));
     };
     for (const service_profile& service : this->configuration->services)
     {
         if (!service.engine)
             continue;
-        made->engine_services.insert(service.name);
+        updated->engine_services.insert(service.name);
         for (const model_profile& model : service.engine->models)
         {
             add(servable_key(service.name, model.name),
@@ -92,7 +92,7 @@
             }
         }
     }
-    this->catalogue = std::move(made);
+    this->catalogue = std::move(updated);
 }
 
 bool serving_view::entry_read(server_entry entry)
@@ -366,34 +366,34 @@
 {
     if (!this->configuration)
         return nullptr;
-    serving_table::parts made;
-    made.catalogue = this->catalogue;
-    made.placement_available = placement_available;
-    made.blocked = blocked;
+    serving_table::parts content;
+    content.catalogue = this->catalogue;
+    content.placement_available = placement_available;
+    content.blocked = blocked;
     for (const auto& [model, expected] : this->expected_loads)
-        made.expected.emplace(model, expected.ready);
+        content.expected.emplace(model, expected.ready);
     for (const service_profile& service : this->configuration->services)
     {
-        service_routes& entry = made.services[service.name];
+        service_routes& entry = content.services[service.name];
         entry.name = service.name;
     }
     for (const auto& [id, record] : this->servers_by_id)
     {
         if (record.superseded)
             continue;
-        made.servers[record.entry.address] = {
+        content.servers[record.entry.address] = {
             id, record.entry.service, record.entry.data_centre};
         if (record.entry.leaving)
             continue;
         if (this->is_engine(record))
         {
             if (!record.backoff_until)
-                this->add_engine(made, record, now);
+                this->add_engine(content, record, now);
         }
         else
-            this->add_plain(made, record);
+            this->add_plain(content, record);
     }
-    return std::make_shared<const serving_table>(std::move(made));
+    return std::make_shared<const serving_table>(std::move(content));
 }
 
 bool serving_view::is_engine(const server& record) const
