--- a/bench/server_limits/bench_server_limits.cpp
+++ b/bench/server_limits/bench_server_limits.cpp
@@ -29,21 +29,21 @@
     std::size_t at_last; ///< number of routers with callers; 0: all
 };
 
-void measure(quota_mode mode, const load_case& config, std::size_t routers)
+void measure(quota_mode mode, const load_case& load, std::size_t routers)
 {
-    limited_fleet::options chosen;
-    chosen.routers = routers;
-    chosen.engines = config.engines;
-    chosen.per_second = per_second;
-    chosen.mode = mode;
-    limited_fleet fleet(chosen);
-    fleet.send(warm_up, config.per_second, config.at_last);
+    limited_fleet::options config;
+    config.routers = routers;
+    config.engines = load.engines;
+    config.per_second = per_second;
+    config.mode = mode;
+    limited_fleet fleet(config);
+    fleet.send(warm_up, load.per_second, load.at_last);
     fleet.announce_limit(true);
     const std::size_t messages_before = fleet.message_count();
-    fleet.send(length, config.per_second, config.at_last);
+    fleet.send(length, load.per_second, load.at_last);
     const double seconds = std::chrono::duration<double>(length).count();
     const std::string name =
-        std::string(config.name) +
+        std::string(load.name) +
         (mode == quota_mode::accountant ? ".accountant." : ".own_share.") +
         std::to_string(routers);
     const auto message_count =
@@ -69,12 +69,12 @@
         {"one_of_three", 3, 3 * load_per_engine, 0},
         {"only_engine", 1, 4, 0},
         {"only_engine_few_routers", 1, 4, 3}};
-    for (const load_case& config : cases)
+    for (const load_case& load : cases)
     {
         for (const std::size_t routers : {7, 65, 300})
         {
-            measure(quota_mode::accountant, config, routers);
-            measure(quota_mode::local_share, config, routers);
+            measure(quota_mode::accountant, load, routers);
+            measure(quota_mode::local_share, load, routers);
         }
     }
 }
--- a/bench/serving/bench_serving.cpp
+++ b/bench/serving/bench_serving.cpp
@@ -21,31 +21,31 @@
 
 std::shared_ptr<deployment> make_deployment()
 {
-    auto made = std::make_shared<deployment>();
-    made->version = 1;
-    service_profile& service = made->services.emplace_back();
+    auto configuration = std::make_shared<deployment>();
+    configuration->version = 1;
+    service_profile& service = configuration->services.emplace_back();
     service.name = "llm";
     engine_profile& engine = service.engine.emplace();
     engine.slots = 12;
     for (std::size_t i = 0; i < models; ++i)
         engine.models.emplace_back().name = "model-" + std::to_string(i);
-    return made;
+    return configuration;
 }
 
 server_entry make_entry(std::size_t number)
 {
     constexpr std::size_t models_per_engine = 3;
-    server_entry made;
-    made.id = "engine-" + std::to_string(number);
-    made.service = "llm";
-    made.address = "10.0.0.1:" + std::to_string(number);
-    made.data_centre = "a";
+    server_entry entry;
+    entry.id = "engine-" + std::to_string(number);
+    entry.service = "llm";
+    entry.address = "10.0.0.1:" + std::to_string(number);
+    entry.data_centre = "a";
     for (std::size_t i = 0; i < models_per_engine; ++i)
-        made.holdings.resident.push_back(
+        entry.holdings.resident.push_back(
             {"model-" +
                  std::to_string((models_per_engine * number + i) % models),
              {}});
-    return made;
+    return entry;
 }
 
 template <class Step>
--- a/src/core/pacing/server_limits.cpp
+++ b/src/core/pacing/server_limits.cpp
@@ -27,8 +27,8 @@
 
 } // namespace
 
-server_limits::server_limits(options chosen)
-    : settings(std::move(chosen))
+server_limits::server_limits(options config)
+    : settings(std::move(config))
 {
 }
 
--- a/src/core/quota/limit_share.hpp
+++ b/src/core/quota/limit_share.hpp
@@ -19,9 +19,9 @@
 };
 
 /// @return The given fraction of a limit.
-inline usage_limit share_of(const usage_limit& whole, double fraction)
+inline usage_limit share_of(const usage_limit& total, double fraction)
 {
-    return {whole.per_second * fraction, whole.burst * fraction};
+    return {total.per_second * fraction, total.burst * fraction};
 }
 
 /** @return How long a contact between router and accountant stays valid.
--- a/src/core/quota/quota_accountant.cpp
+++ b/src/core/quota/quota_accountant.cpp
@@ -12,7 +12,7 @@
 /// Results kept per router, to answer repeated draws without counting twice.
 constexpr std::size_t max_cached_results = 32;
 
-/// Routers that were not heard for this long are forgotten.
+/// Routers that sent nothing for this long are forgotten.
 constexpr duration router_retention = std::chrono::seconds(60);
 
 /// Cap for times in received messages (one hour).
@@ -40,9 +40,10 @@
 
 } // namespace
 
-quota_accountant::quota_accountant(std::string own_name, quota_bounds given)
+quota_accountant::quota_accountant(
+    std::string own_name, quota_bounds tolerances)
     : name(std::move(own_name))
-    , bounds(given)
+    , bounds(tolerances)
 {
 }
 
@@ -158,8 +159,8 @@
 {
     if (now - this->last_refill < count_interval)
         return;
-    // After a process freeze, routers that were heard before have moved to
-    // another accountant.
+    // After a process freeze, the routers known before have moved to another
+    // accountant.
     const duration elapsed = std::min<duration>(
         now - this->last_refill, contact_timeout(this->bounds));
     this->last_refill = now;
--- a/src/core/quota/quota_client.cpp
+++ b/src/core/quota/quota_client.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-quota_client::quota_client(options chosen)
-    : settings(std::move(chosen))
+quota_client::quota_client(options config)
+    : settings(std::move(config))
     , last_id(this->settings.seed)
 {
     constexpr decision_method methods[] = {
@@ -56,7 +56,7 @@
     std::vector<std::string> names, std::size_t known)
 {
     this->router_count = std::max<std::size_t>(known, 1);
-    const std::string chosen(this->accountant());
+    const std::string current_name(this->accountant());
     std::vector<accountant_contact> next;
     for (std::string& name : names)
     {
@@ -69,8 +69,8 @@
     }
     this->contacts = std::move(next);
     // Keep an accountant that answers when the list is updated.
-    const auto kept =
-        std::ranges::find(this->contacts, chosen, &accountant_contact::name);
+    const auto kept = std::ranges::find(
+        this->contacts, current_name, &accountant_contact::name);
     this->current_index =
         static_cast<std::size_t>(kept - this->contacts.begin());
     this->choose_accountant(this->last_tick);
--- a/src/core/serving/serving_view.cpp
+++ b/src/core/serving/serving_view.cpp
@@ -38,8 +38,8 @@
 
 } // namespace
 
-serving_view::serving_view(options chosen)
-    : settings(chosen)
+serving_view::serving_view(options config)
+    : settings(config)
 {
 }
 
--- a/tests/unit/quota/quota_fleet.cpp
+++ b/tests/unit/quota/quota_fleet.cpp
@@ -12,9 +12,9 @@
 
 } // namespace
 
-quota_fleet::quota_fleet(options chosen)
-    : settings(chosen)
-    , random(chosen.seed)
+quota_fleet::quota_fleet(options config)
+    : settings(config)
+    , random(config.seed)
     , ideal_refilled_at(this->time)
 {
     for (std::size_t i = 0; i < this->settings.routers; ++i)
--- a/tests/unit/quota/test_quota_client.cpp
+++ b/tests/unit/quota/test_quota_client.cpp
@@ -41,21 +41,21 @@
 
     static quota_client::options make_options(quota_mode mode)
     {
-        quota_client::options made;
-        made.router = "r";
-        made.bounds.slack = slack;
-        made.mode = mode;
-        return made;
+        quota_client::options config;
+        config.router = "r";
+        config.bounds.slack = slack;
+        config.mode = mode;
+        return config;
     }
 
     /// @return Queries to one accountant since the last call.
     std::vector<quota_query> queries_to(const std::string& name)
     {
         std::vector<quota_query> found;
-        for (const quota_message& one : this->client.take_messages())
+        for (const quota_message& message : this->client.take_messages())
         {
-            if (one.to == name)
-                found.push_back(one.query);
+            if (message.to == name)
+                found.push_back(message.query);
         }
         return found;
     }
--- a/tests/unit/quota/test_quota_fleet.cpp
+++ b/tests/unit/quota/test_quota_fleet.cpp
@@ -39,24 +39,24 @@
         fleet.allowed());
 }
 
-void assert_served(const quota_fleet& fleet, double least)
+void assert_served(const quota_fleet& fleet, double min_share)
 {
     cr_assert_geq(
-        fleet.served_share(), least, "%.3f served", fleet.served_share());
+        fleet.served_share(), min_share, "%.3f served", fleet.served_share());
 }
 
 quota_fleet::options make_options(std::size_t routers)
 {
-    quota_fleet::options chosen;
-    chosen.routers = routers;
-    return chosen;
+    quota_fleet::options config;
+    config.routers = routers;
+    return config;
 }
 
 /// A fleet in which all routers had time to choose an accountant.
 struct settled_fleet : quota_fleet
 {
-    explicit settled_fleet(const options& chosen)
-        : quota_fleet(chosen)
+    explicit settled_fleet(const options& config)
+        : quota_fleet(config)
     {
         this->advance(5s);
     }
@@ -104,14 +104,14 @@
 
 Test(quota_fleet, a_lossy_network_reduces_throughput_little)
 {
-    quota_fleet::options chosen = make_options(300);
-    chosen.loss = 0.03;
-    chosen.duplicate = 0.05;
-    chosen.longest_delay = 15ms;
+    quota_fleet::options config = make_options(300);
+    config.loss = 0.03;
+    config.duplicate = 0.05;
+    config.longest_delay = 15ms;
     for (const std::uint64_t seed : {1U, 2U, 3U})
     {
-        chosen.seed = seed;
-        settled_fleet fleet(chosen);
+        config.seed = seed;
+        settled_fleet fleet(config);
         fleet.send(20s, overload_rate, small_request, short_wait);
         assert_in_bounds(fleet);
         assert_served(fleet, 0.95);
@@ -194,9 +194,9 @@
     {
         const auto step =
             static_cast<std::size_t>(fleet.now().time_since_epoch() / 700ms);
-        const auto is_cut = [step](std::size_t one)
+        const auto is_cut = [step](std::size_t router)
         {
-            return (one + step * 17) % 65 < 25;
+            return (router + step * 17) % 65 < 25;
         };
         return is_cut(from) == is_cut(to);
     };
@@ -257,9 +257,9 @@
 
 Test(quota_fleet, a_newly_set_limit_holds)
 {
-    quota_fleet::options chosen = make_options(65);
-    chosen.limit = {0, 0};
-    settled_fleet fleet(chosen);
+    quota_fleet::options config = make_options(65);
+    config.limit = {0, 0};
+    settled_fleet fleet(config);
     fleet.set_limit({limit, limit});
     fleet.send(20s, overload_rate, small_request, short_wait);
     assert_in_bounds(fleet);
@@ -268,9 +268,9 @@
 
 Test(quota_fleet, an_organisation_without_a_limit_is_never_refused)
 {
-    quota_fleet::options chosen = make_options(65);
-    chosen.limit = {0, 0};
-    settled_fleet fleet(chosen);
+    quota_fleet::options config = make_options(65);
+    config.limit = {0, 0};
+    settled_fleet fleet(config);
     fleet.send(5s, 100'000, small_request, 0ms);
     fleet.advance(1s);
     cr_assert_gt(fleet.worst_window(), 450'000);
--- a/tests/unit/quota/test_server_accounts.cpp
+++ b/tests/unit/quota/test_server_accounts.cpp
@@ -110,8 +110,8 @@
         client.tick(at(passed));
         client.draw(server_account("s"), 1, 0ms, at(passed));
         client.take_messages();
-        for (const quota_decision& made : client.take_decisions())
-            allowed += made.is_allowed ? 1 : 0;
+        for (const quota_decision& decision : client.take_decisions())
+            allowed += decision.is_allowed ? 1 : 0;
     }
     cr_assert_geq(allowed, 3);
     cr_assert_leq(allowed, 4);
--- a/tests/unit/server_limits/limited_fleet.cpp
+++ b/tests/unit/server_limits/limited_fleet.cpp
@@ -24,9 +24,9 @@
 
 } // namespace
 
-limited_fleet::limited_fleet(options chosen)
-    : settings(chosen)
-    , random(chosen.seed)
+limited_fleet::limited_fleet(options config)
+    : settings(config)
+    , random(config.seed)
 {
     servable_routes model;
     model.id = servable_id(1);
@@ -197,8 +197,8 @@
     for (const dispatch_command& command :
          this->routers[number].traffic->take_commands())
     {
-        if (const auto* given = std::get_if<grant>(&command))
-            this->run_request(number, *given);
+        if (const auto* granted = std::get_if<grant>(&command))
+            this->run_request(number, *granted);
         else if (std::holds_alternative<refusal>(command))
             ++this->refused_count;
         else if (const auto* wanted = std::get_if<permit_wanted>(&command))
@@ -206,13 +206,13 @@
     }
 }
 
-void limited_fleet::run_request(std::size_t number, const grant& given)
+void limited_fleet::run_request(std::size_t number, const grant& granted)
 {
     const instant sent = this->time;
     std::uniform_int_distribution<duration::rep> length(
         this->settings.service.count(), 2 * this->settings.service.count());
     const instant end = sent + duration(length(this->random));
-    if (given.engine == limited_engine)
+    if (granted.engine == limited_engine)
     {
         const bool is_announced = this->announced_since != instant::max();
         this->arrivals.push_back(
@@ -222,16 +222,17 @@
     this->schedule_on(
         number,
         end,
-        [this, number, given, sent]
+        [this, number, granted, sent]
         {
-            this->answer(number, given, sent);
+            this->answer(number, granted, sent);
         });
 }
 
-void limited_fleet::answer(std::size_t number, const grant& given, instant sent)
+void limited_fleet::answer(
+    std::size_t number, const grant& granted, instant sent)
 {
     router& target = this->routers[number];
-    if (given.engine == limited_engine)
+    if (granted.engine == limited_engine)
     {
         const auto named = this->announced_since <= this->time
                                ? std::optional(this->settings.per_second)
@@ -241,20 +242,20 @@
     attempt_result result;
     result.total = this->time - sent;
     result.first_byte = result.total / 2;
-    target.traffic->finished(given.request, result, this->time);
+    target.traffic->finished(granted.request, result, this->time);
     ++this->answered_count;
     this->flush(number);
 }
 
-void limited_fleet::draw_permit(std::size_t number, const permit_wanted& what)
+void limited_fleet::draw_permit(std::size_t number, const permit_wanted& wanted)
 {
     router& target = this->routers[number];
     const std::uint64_t id = target.client->draw(
         server_account(limited_server),
         1,
-        what.waits ? permit_max_wait : duration::zero(),
+        wanted.waits ? permit_max_wait : duration::zero(),
         this->time);
-    target.draws[id] = what.server;
+    target.draws[id] = wanted.server;
 }
 
 void limited_fleet::take_draws(std::size_t number)
--- a/tests/unit/server_limits/limited_fleet.hpp
+++ b/tests/unit/server_limits/limited_fleet.hpp
@@ -82,7 +82,7 @@
     /// @return The limit for `worst_window`.
     double allowed() const;
 
-    /// @return Requests that the limited engine got in the given last period.
+    /// @return Requests that the limited engine got in the last `length`.
     std::size_t arrived_within(duration length) const;
 
     std::size_t served() const
@@ -145,9 +145,9 @@
     void take_changes(std::size_t number);
     void take_commands(std::size_t number);
     void take_draws(std::size_t number);
-    void run_request(std::size_t number, const grant& given);
-    void answer(std::size_t number, const grant& given, instant sent);
-    void draw_permit(std::size_t number, const permit_wanted& what);
+    void run_request(std::size_t number, const grant& granted);
+    void answer(std::size_t number, const grant& granted, instant sent);
+    void draw_permit(std::size_t number, const permit_wanted& wanted);
     void apply_decision(std::size_t number, const quota_decision& decision);
     void schedule_tick(std::size_t number);
     void
--- a/tests/unit/server_limits/test_limited_fleet.cpp
+++ b/tests/unit/server_limits/test_limited_fleet.cpp
@@ -17,15 +17,15 @@
 limited_fleet::options
 make_options(std::size_t routers, double per_second = 1.9)
 {
-    limited_fleet::options made;
-    made.routers = routers;
-    made.per_second = per_second;
-    return made;
+    limited_fleet::options config;
+    config.routers = routers;
+    config.per_second = per_second;
+    return config;
 }
 
-double total_load(const limited_fleet::options& chosen)
+double total_load(const limited_fleet::options& config)
 {
-    return load_per_engine * static_cast<double>(chosen.engines);
+    return load_per_engine * static_cast<double>(config.engines);
 }
 
 void assert_in_bounds(const limited_fleet& fleet)
@@ -40,24 +40,24 @@
 }
 
 /// A fleet whose first engine has announced its limit for 12 s.
-limited_fleet make_limited(const limited_fleet::options& chosen)
+limited_fleet make_limited(const limited_fleet::options& config)
 {
-    limited_fleet fleet(chosen);
-    fleet.send(warm_up, total_load(chosen));
+    limited_fleet fleet(config);
+    fleet.send(warm_up, total_load(config));
     fleet.announce_limit(true);
-    fleet.send(12s, total_load(chosen));
+    fleet.send(12s, total_load(config));
     return fleet;
 }
 
 /// Requests received in the last `length`, as a fraction of the limit.
 double used_share(
     const limited_fleet& fleet,
-    const limited_fleet::options& chosen,
+    const limited_fleet::options& config,
     duration length)
 {
     const double seconds = std::chrono::duration<double>(length).count();
     return static_cast<double>(fleet.arrived_within(length)) /
-           (chosen.per_second * seconds);
+           (config.per_second * seconds);
 }
 
 } // namespace
@@ -68,10 +68,10 @@
 {
     for (const std::size_t routers : {7, 65, 300})
     {
-        const auto chosen = make_options(routers);
-        const limited_fleet fleet = make_limited(chosen);
+        const auto config = make_options(routers);
+        const limited_fleet fleet = make_limited(config);
         assert_in_bounds(fleet);
-        const double used = used_share(fleet, chosen, 8s);
+        const double used = used_share(fleet, config, 8s);
         cr_assert_gt(used, 0.5, "%zu routers use %.2f", routers, used);
         cr_assert_eq(fleet.refused(), 0, "%zu refused", fleet.refused());
     }
@@ -81,18 +81,18 @@
 {
     for (const std::uint64_t seed : {1, 2, 3, 4, 5})
     {
-        auto chosen = make_options(65);
-        chosen.loss = 0.1;
-        chosen.seed = seed;
-        assert_in_bounds(make_limited(chosen));
+        auto config = make_options(65);
+        config.loss = 0.1;
+        config.seed = seed;
+        assert_in_bounds(make_limited(config));
     }
 }
 
 Test(limited_fleet, a_server_with_a_very_low_limit_still_gets_requests)
 {
-    const auto chosen = make_options(65, 0.2);
-    limited_fleet fleet = make_limited(chosen);
-    fleet.send(20s, total_load(chosen));
+    const auto config = make_options(65, 0.2);
+    limited_fleet fleet = make_limited(config);
+    fleet.send(20s, total_load(config));
     assert_in_bounds(fleet);
     cr_assert_gt(fleet.arrived_within(20s), 0);
 }
@@ -101,11 +101,11 @@
 {
     for (const std::size_t routers : {7, 65, 300})
     {
-        const auto chosen = make_options(routers);
-        limited_fleet fleet = make_limited(chosen);
+        const auto config = make_options(routers);
+        limited_fleet fleet = make_limited(config);
         fleet.announce_limit(false);
-        fleet.send(2s, total_load(chosen));
-        fleet.send(4s, total_load(chosen));
+        fleet.send(2s, total_load(config));
+        fleet.send(4s, total_load(config));
         const auto arrived = static_cast<double>(fleet.arrived_within(4s));
         cr_assert_gt(
             arrived,
@@ -122,14 +122,14 @@
 {
     for (const std::size_t routers : {7, 65, 300})
     {
-        auto chosen = make_options(routers, 2);
-        chosen.engines = 1;
-        limited_fleet fleet(chosen);
+        auto config = make_options(routers, 2);
+        config.engines = 1;
+        limited_fleet fleet(config);
         fleet.send(warm_up, 1, 3);
         fleet.announce_limit(true);
         fleet.send(20s, 4, 3);
         assert_in_bounds(fleet);
-        const double used = used_share(fleet, chosen, 15s);
+        const double used = used_share(fleet, config, 15s);
         cr_assert_gt(used, 0.8, "%zu routers use %.2f", routers, used);
     }
 }
@@ -139,23 +139,23 @@
 {
     for (const std::size_t frozen : {0, 1, 8})
     {
-        const auto chosen = make_options(9);
-        limited_fleet fleet = make_limited(chosen);
+        const auto config = make_options(9);
+        limited_fleet fleet = make_limited(config);
         fleet.freeze(frozen, 3s);
-        fleet.send(8s, total_load(chosen));
+        fleet.send(8s, total_load(config));
         assert_in_bounds(fleet);
-        cr_assert_gt(used_share(fleet, chosen, 4s), 0.4);
+        cr_assert_gt(used_share(fleet, config, 4s), 0.4);
     }
 }
 
 Test(limited_fleet, restarts_one_after_another_break_no_limit)
 {
-    const auto chosen = make_options(9);
-    limited_fleet fleet = make_limited(chosen);
-    for (std::size_t i = 0; i < chosen.routers; ++i)
+    const auto config = make_options(9);
+    limited_fleet fleet = make_limited(config);
+    for (std::size_t i = 0; i < config.routers; ++i)
     {
         fleet.restart(i);
-        fleet.send(1s, total_load(chosen));
+        fleet.send(1s, total_load(config));
     }
     assert_in_bounds(fleet);
 }
@@ -164,19 +164,19 @@
 {
     for (const std::size_t routers : {9, 300})
     {
-        const auto chosen = make_options(routers);
-        limited_fleet fleet = make_limited(chosen);
-        for (std::size_t i = 0; i < chosen.routers; ++i)
+        const auto config = make_options(routers);
+        limited_fleet fleet = make_limited(config);
+        for (std::size_t i = 0; i < config.routers; ++i)
             fleet.restart(i);
-        fleet.send(8s, total_load(chosen));
+        fleet.send(8s, total_load(config));
         assert_in_bounds(fleet);
     }
 }
 
 Test(limited_fleet, routers_that_are_cut_off_keep_to_their_share)
 {
-    const auto chosen = make_options(9);
-    limited_fleet fleet = make_limited(chosen);
+    const auto config = make_options(9);
+    limited_fleet fleet = make_limited(config);
     const auto side = [](std::size_t router)
     {
         return router >= 6;
@@ -185,7 +185,7 @@
     {
         return side(from) == side(to);
     };
-    fleet.send(10s, total_load(chosen));
+    fleet.send(10s, total_load(config));
     assert_in_bounds(fleet);
 }
 
@@ -193,22 +193,22 @@
 {
     for (const bool hears : {false, true})
     {
-        const auto chosen = make_options(9);
-        limited_fleet fleet = make_limited(chosen);
+        const auto config = make_options(9);
+        limited_fleet fleet = make_limited(config);
         fleet.reaches = [hears](std::size_t from, std::size_t to)
         {
             return (hears ? from : to) != 0;
         };
-        fleet.send(10s, total_load(chosen));
+        fleet.send(10s, total_load(config));
         assert_in_bounds(fleet);
     }
 }
 
 Test(limited_fleet, requests_beyond_the_limit_are_refused)
 {
-    auto chosen = make_options(9, 0.5);
-    chosen.engines = 1;
-    limited_fleet fleet(chosen);
+    auto config = make_options(9, 0.5);
+    config.engines = 1;
+    limited_fleet fleet(config);
     fleet.send(warm_up, 1);
     fleet.announce_limit(true);
     fleet.send(20s, 6);
