--- a/bench/serving/bench_serving.cpp
+++ b/bench/serving/bench_serving.cpp
@@ -1,5 +1,5 @@
-// A view of a registry of a size: listing it whole, hearing of one more server,
-// and making a table of it.
+// Measures a serving view for registries of several sizes: a complete listing,
+// the addition of one server, and the construction of a routing table.
 
 #include "core/serving/serving_view.hpp"
 
@@ -21,29 +21,31 @@
 
 std::shared_ptr<deployment> make_deployment()
 {
-    auto made = std::make_shared<deployment>();
-    made->version = 1;
-    service_profile& service = made->services.emplace_back();
+    auto configuration = std::make_shared<deployment>();
+    configuration->version = 1;
+    service_profile& service = configuration->services.emplace_back();
     service.name = "llm";
     engine_profile& engine = service.engine.emplace();
     engine.slots = 12;
     for (std::size_t i = 0; i < models; ++i)
         engine.models.emplace_back().name = "model-" + std::to_string(i);
-    return made;
+    return configuration;
 }
 
 server_entry make_entry(std::size_t number)
 {
-    constexpr std::size_t held = 3;
-    server_entry made;
-    made.id = "engine-" + std::to_string(number);
-    made.service = "llm";
-    made.address = "10.0.0.1:" + std::to_string(number);
-    made.data_centre = "a";
-    for (std::size_t i = 0; i < held; ++i)
-        made.holdings.resident.push_back(
-            {"model-" + std::to_string((held * number + i) % models), {}});
-    return made;
+    constexpr std::size_t models_per_engine = 3;
+    server_entry entry;
+    entry.id = "engine-" + std::to_string(number);
+    entry.service = "llm";
+    entry.address = "10.0.0.1:" + std::to_string(number);
+    entry.data_centre = "a";
+    for (std::size_t i = 0; i < models_per_engine; ++i)
+        entry.holdings.resident.push_back(
+            {"model-" +
+                 std::to_string((models_per_engine * number + i) % models),
+             {}});
+    return entry;
 }
 
 template <class Step>
@@ -52,9 +54,9 @@
     const auto start = std::chrono::steady_clock::now();
     for (std::size_t i = 0; i < times; ++i)
         step(i);
-    const std::chrono::duration<double, std::micro> passed =
+    const std::chrono::duration<double, std::micro> elapsed =
         std::chrono::steady_clock::now() - start;
-    std::cout << name << '=' << passed.count() / static_cast<double>(times)
+    std::cout << name << '=' << elapsed.count() / static_cast<double>(times)
               << " us\n";
 }
 
--- a/src/core/pacing/server_limits.hpp
+++ b/src/core/pacing/server_limits.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/pacing/server_limit.hpp"
-#include "core/pacing/server_limit_word.hpp"
+#include "core/pacing/server_limit_update.hpp"
 
 #include <roseworks/instant.hpp>
 
@@ -16,91 +16,96 @@
 namespace roseworks
 {
 
-/** What this router knows of the limits that backend servers name.
+/** Tracks the rate limits that backend servers announce.
 
-    A server names its limit in answers, for as long as it holds. The newest
-    word counts: an own answer's, or another router's. An answer without one
-    ends a limit only when its request was sent after the limit was last seen,
-    as answers on different connections overtake each other.
+    A server announces its limit in its answers for as long as the limit holds.
+    The newest information wins, whether it comes from an answer to this router
+    or from another router. Answers on different connections can overtake each
+    other. Therefore an answer without a limit ends a known limit only when its
+    request was sent after the limit was last seen.
 
-    A limited server still gets requests, so that its answers tell when the
-    limit ends: what is known isn't given up by its age but long after the last
-    word. Pure: time comes in, words and changes go out. Hint.
+    A limited server still gets requests, so its answers show when the limit
+    ends. A limit expires only long after it was last seen.
+
+    The class does no I/O and reads no clock: callers pass in the time and
+    collect messages and changes. The data is advisory.
 */
 class server_limits
 {
 public:
     struct options
     {
-        std::string router; ///< this one's name
-        /// A change is told this often in all: words may be lost.
-        int tellings = 3;
-        /// Between them.
-        duration telling_pause = std::chrono::milliseconds(150);
-        /// A limit that holds is told again after so long, by one who has just
-        /// seen it.
-        duration confirm_pause = std::chrono::seconds(1);
-        /// An ended limit is remembered, for older words that come later.
-        duration end_memory = std::chrono::seconds(10);
-        /// Nobody sent anything to the server for so long.
-        duration lifetime = std::chrono::seconds(60);
-        /// Of servers that are remembered; others' limits aren't kept.
-        std::size_t most_servers = 1024;
+        std::string router; ///< name of this router
+        /// Number of times that a change is sent, as messages may be lost.
+        int announcement_count = 3;
+        /// Time between two messages about the same change.
+        duration announcement_interval = std::chrono::milliseconds(150);
+        /// Minimum time between messages that confirm an unchanged limit. Only
+        /// a router that has just seen the limit sends them.
+        duration refresh_interval = std::chrono::seconds(1);
+        /// How long an ended limit is kept, so that older messages that arrive
+        /// late don't bring it back.
+        duration ended_limit_retention = std::chrono::seconds(10);
+        /// A limit expires when it was not seen for this long, that is, when no
+        /// router sent the server anything.
+        duration limit_retention = std::chrono::seconds(60);
+        /// Limits of further servers are ignored.
+        std::size_t max_servers = 1024;
     };
 
     explicit server_limits(options settings);
 
-    /** An answer of a server came.
+    /** Processes an answer of a server.
 
-        @param named Requests a second; empty: it named no limit.
-        @param sent  When its request was sent.
+        @param announced Requests per second; empty if the answer has no limit.
+        @param sent      When the request of this answer was sent.
     */
-    void answered(
+    void handle_answer(
         std::string_view server,
-        std::optional<double> named,
+        std::optional<double> announced,
         instant sent,
         instant now);
 
-    /// Another router's word.
-    void heard(const server_limit_word& word, instant now);
+    /// Processes a message of another router.
+    void handle_update(const server_limit_update& update, instant now);
 
-    /// The server is gone, or was started anew.
-    void forget(std::string_view server);
+    /// Drops the limit of a server that is gone or was restarted.
+    void remove(std::string_view server);
 
     void tick(instant now);
 
-    /// @return When `tick` has work next; empty while nothing is known.
+    /// @return When `tick` has work next; empty when no limit is known.
     std::optional<instant> next_tick() const;
 
-    /// @return Requests a second; 0: no limit is known.
+    /// @return Requests per second; 0 when no limit is known.
     double limit_of(std::string_view server) const;
 
-    /// @return Limits in force, by server.
+    /// @return Limits in force, ordered by server.
     std::vector<server_limit> in_force() const;
 
     /// @return Limits that began, changed or ended since the last call.
     std::vector<server_limit> take_changes();
 
-    /// @return What all others are to be told now.
-    std::optional<server_limit_word> take_word(instant now);
+    /// @return The message to send to all other routers now, if any.
+    std::optional<server_limit_update> take_update(instant now);
 
 private:
     struct entry
     {
         server_limit limit;
-        instant told; ///< last, by whomever
-        int tellings_left = 0;
+        instant announced_at; ///< last message about it, from any router
+        int announcements_left = 0;
     };
 
     entry* find_or_add(std::string_view server);
-    /// @return Whether the limit is another one now.
-    bool take(entry& known, double per_second, instant seen);
-    void tell(entry& known, instant now);
+    /// @return Whether the limit changed.
+    bool set_limit(entry& record, double per_second, instant seen);
+    void announce(entry& record, instant now);
 
     options settings;
-    std::map<std::string, entry, std::less<>> known;
+    std::map<std::string, entry, std::less<>> entries;
     std::vector<server_limit> changes;
-    std::vector<std::string> to_tell;
+    std::vector<std::string> pending_announcements;
 };
 
 } // namespace roseworks
--- /dev/null
+++ b/src/core/quota/global_limits.cpp
@@ -0,0 +1,50 @@
+#include "core/quota/global_limits.hpp"
+
+namespace roseworks
+{
+
+namespace
+{
+
+/// Names of organisations don't begin with a control character, so they can't
+/// clash with this.
+constexpr std::string_view server_account_prefix = "\x01server ";
+
+} // namespace
+
+global_limits
+limits_of(const deployment& configuration, const quota_bounds& bounds)
+{
+    global_limits limits;
+    if (!configuration.organisations)
+        return limits;
+    for (const organisation& entry : *configuration.organisations)
+    {
+        if (entry.limit)
+            limits[entry.name] = {*entry.limit, bounds.slack, 0};
+    }
+    return limits;
+}
+
+global_limit limit_of_server(double per_second)
+{
+    constexpr double one_request = 1;
+    return {{per_second, one_request}, 0, one_request};
+}
+
+std::string server_account(std::string_view server)
+{
+    return std::string(server_account_prefix) + std::string(server);
+}
+
+std::string_view server_of_account(std::string_view account)
+{
+    return account.substr(server_account_prefix.size());
+}
+
+bool is_server_account(std::string_view account)
+{
+    return account.starts_with(server_account_prefix);
+}
+
+} // namespace roseworks
--- /dev/null
+++ b/src/core/quota/quota_messages.hpp
@@ -0,0 +1,103 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace roseworks
+{
+
+/// Tokens that one request takes from the limit of an account.
+struct quota_draw
+{
+    std::uint64_t id = 0;     ///< unique per router, also across restarts
+    std::string organisation; ///< name of the account: organisation or server
+    double amount = 0;
+    std::int64_t max_wait_us = 0;
+    /// The limit that a backend server announced, for an accountant that
+    /// doesn't know it yet; 0: the configured limit applies.
+    double announced_per_second = 0;
+
+    template <class Archive>
+    void serialize(Archive& archive)
+    {
+        archive(
+            this->id,
+            this->organisation,
+            this->amount,
+            this->max_wait_us,
+            this->announced_per_second);
+    }
+};
+
+/// Tokens that were taken for a request that did not run.
+struct quota_return
+{
+    std::string organisation;
+    double amount = 0;
+
+    template <class Archive>
+    void serialize(Archive& archive)
+    {
+        archive(this->organisation, this->amount);
+    }
+};
+
+/// Message from a router to its accountant. Draws are repeated until they are
+/// answered. Returns are not: a lost one costs the organisation these tokens.
+struct quota_query
+{
+    /// No answer came from this accountant, or it must not count this router.
+    static constexpr std::int64_t never = -1;
+
+    std::string router;
+    /// Age of the last answer from this accountant, or `never`.
+    std::int64_t last_reply_age_us = never;
+    /// Time until this accountant starts to count the router, while another one
+    /// still counts it, or `never`.
+    std::int64_t counting_delay_us = never;
+    std::vector<quota_draw> draws;
+    std::vector<quota_return> returns;
+
+    template <class Archive>
+    void serialize(Archive& archive)
+    {
+        archive(
+            this->router,
+            this->last_reply_age_us,
+            this->counting_delay_us,
+            this->draws,
+            this->returns);
+    }
+};
+
+/// Result of one draw.
+struct quota_result
+{
+    std::uint64_t id = 0;
+    bool is_allowed = false;
+    /// Allowed: time until the request may be sent. Refused: time until the
+    /// bucket holds enough tokens.
+    std::int64_t wait_us = 0;
+
+    template <class Archive>
+    void serialize(Archive& archive)
+    {
+        archive(this->id, this->is_allowed, this->wait_us);
+    }
+};
+
+/// The accountant's reply to each query, including one without draws.
+struct quota_reply
+{
+    std::string accountant;
+    std::vector<quota_result> results;
+
+    template <class Archive>
+    void serialize(Archive& archive)
+    {
+        archive(this->accountant, this->results);
+    }
+};
+
+} // namespace roseworks
--- a/src/core/quota/token_bucket.hpp
+++ b/src/core/quota/token_bucket.hpp
@@ -9,41 +9,42 @@
 namespace roseworks
 {
 
-/** Tokens that fill up at a rate to a capacity, and are set aside by requests.
+/** A token bucket that lets requests reserve tokens in advance.
 
-    A request may be allowed ahead of its tokens, to wait until the bucket holds
-    them: they are set aside at once, and the level goes below zero. So a
-    request that can wait gets its turn while ones that can't are refused.
+    A request that can wait takes its tokens at once, and the level may become
+    negative. The request is sent after the returned wait. So it isn't starved
+    by requests that can't wait: those are refused meanwhile.
 */
 class token_bucket
 {
 public:
-    /// @param terms Rate and capacity; may change from call to call.
-    void fill(duration elapsed, const usage_limit& terms);
+    /// @param limit Rate and capacity; may differ between calls.
+    void refill(duration elapsed, const usage_limit& limit);
 
-    /** Set tokens aside.
+    /** Takes tokens.
 
-        @param amount  At most the capacity has to be there; the rest is owed.
-        @param longest How long the request can wait for them.
-        @return        How long it has to wait; empty when that is longer, and
-                       then nothing is set aside.
+        @param amount   May exceed the capacity: then a full bucket suffices,
+                        and the level becomes negative.
+        @param max_wait Longest time that the request can wait.
+        @return         How long the request has to wait. Empty when that is
+                        longer than it can wait; then no tokens are taken.
     */
     std::optional<duration>
-    take(double amount, duration longest, const usage_limit& terms);
+    take(double amount, duration max_wait, const usage_limit& limit);
 
-    /// @return How long until the bucket holds so much.
-    duration until(double amount, const usage_limit& terms) const;
+    /// @return Time until the bucket holds the amount, or is full.
+    duration time_until(double amount, const usage_limit& limit) const;
 
-    /// Tokens that were set aside and not used.
-    void put_back(double amount, const usage_limit& terms);
+    /// Returns tokens that were taken and not used.
+    void return_tokens(double amount, const usage_limit& limit);
 
     double level() const
     {
-        return this->held;
+        return this->tokens;
     }
 
 private:
-    double held = 0;
+    double tokens = 0;
 };
 
 } // namespace roseworks
--- a/src/core/swapping/swap_planner.cpp
+++ b/src/core/swapping/swap_planner.cpp
@@ -660,7 +660,7 @@
             continue;
         const engine_profile* profile =
             round.engines.find_profile(request.service);
-        const bool full = engine.adapter_count() >= profile->adapter_places;
+        const bool full = engine.adapter_count() >= profile->adapter_slots;
         const std::tuple cost(full, round.usage_by_engine.at(&engine).running);
         if (best == nullptr || cost < best_cost)
         {
--- a/tests/unit/serving/test_route_index.cpp
+++ b/tests/unit/serving/test_route_index.cpp
@@ -45,7 +45,7 @@
     cr_assert_null(index.find("one.example", "/"));
 }
 
-Test(route_index, a_query_and_a_port_and_letters_case_do_not_matter)
+Test(route_index, ignores_the_query_the_port_and_the_case_of_the_host)
 {
     const route_index index = make_index();
     cr_assert_eq(index.find("One.Example:8080", "/a/b/c?d=/x/")->name, "long");
@@ -72,46 +72,47 @@
     cr_assert_eq(counts[1], 100);
 }
 
-Test(choose_service, a_route_without_weight_has_none)
+Test(choose_service, a_route_without_weight_has_no_service)
 {
     path_route route = make_route("r", "h", "/");
     route.services = {{"x", 0}};
     cr_assert(choose_service(route, 7).empty());
 }
 
-/// A request that waits for longer is worth nothing to its caller.
-Test(path_route, a_streams_caller_leaves_before_its_time_limit)
+/// Guards against requests that wait longer than their caller does, whose
+/// answers nobody reads.
+Test(path_route, a_streams_caller_waits_less_than_its_time_limit)
 {
     path_route route;
-    route.kind = repetition::streaming;
+    route.kind = request_kind::streaming;
     route.timeout = std::chrono::seconds(13);
     route.objective = std::chrono::milliseconds(2500);
-    route.longest_gap = std::chrono::milliseconds(400);
-    cr_assert_eq(route.patience(), std::chrono::seconds(10));
+    route.max_event_gap = std::chrono::milliseconds(400);
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(10));
     route.objective = std::chrono::milliseconds(300);
-    cr_assert_eq(route.patience(), std::chrono::milliseconds(3200));
-    route.longest_gap = std::chrono::milliseconds(100);
-    cr_assert_eq(route.patience(), std::chrono::seconds(2));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::milliseconds(3200));
+    route.max_event_gap = std::chrono::milliseconds(100);
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(2));
     route.timeout = std::chrono::seconds(1);
-    cr_assert_eq(route.patience(), std::chrono::seconds(1));
-    route.kind = repetition::idempotent;
-    cr_assert_eq(route.patience(), std::chrono::seconds(1));
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
+    route.kind = request_kind::idempotent;
+    cr_assert_eq(route.first_event_timeout(), std::chrono::seconds(1));
 }
 
-/// A plain request's time limit is its own: nothing is taken off it.
-Test(path_route, only_a_stream_that_can_not_go_on_is_bounded_by_patience)
+/// Guards against a shortened time limit for requests that aren't streams.
+Test(path_route, only_a_stream_that_can_not_resume_has_a_shorter_wait)
 {
     path_route route;
     route.timeout = std::chrono::seconds(13);
     route.objective = std::chrono::milliseconds(2500);
-    for (const repetition kind :
-         {repetition::idempotent, repetition::non_idempotent})
+    for (const request_kind kind :
+         {request_kind::idempotent, request_kind::non_idempotent})
     {
         route.kind = kind;
-        cr_assert_eq(route.longest_wait(), route.timeout);
+        cr_assert_eq(route.max_queue_time(), route.timeout);
     }
-    route.kind = repetition::streaming;
-    cr_assert_eq(route.longest_wait(), std::chrono::milliseconds(9900));
+    route.kind = request_kind::streaming;
+    cr_assert_eq(route.max_queue_time(), std::chrono::milliseconds(9900));
     route.resumable = true;
-    cr_assert_eq(route.longest_wait(), route.timeout);
+    cr_assert_eq(route.max_queue_time(), route.timeout);
 }
--- a/tests/unit/users_platform/test_directory_updates.cpp
+++ b/tests/unit/users_platform/test_directory_updates.cpp
@@ -160,7 +160,7 @@
     test.directory.word_heard(update);
     cr_assert_eq(test.listener.read.size(), 1);
     cr_assert_eq(test.listener.read[0].id, "e1");
-    cr_assert_eq(test.listener.read[0].heard, 3);
+    cr_assert_eq(test.listener.read[0].registry_revision, 3);
     cr_assert(!test.listener.read[0].holdings.copies_known);
     cr_assert_eq(test.listener.removed.size(), 1);
 }
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -42,24 +42,24 @@
         this->directories.push_back(update);
     }
 
-    void quota_ask_heard(const quota_ask& ask, std::string_view) override
+    void quota_ask_heard(const quota_query& ask, std::string_view) override
     {
         this->asks.push_back(ask);
     }
 
-    void quota_answer_heard(const quota_answer& answer) override
+    void quota_answer_heard(const quota_reply& answer) override
     {
         this->answers.push_back(answer);
     }
 
-    void server_limit_word_heard(const server_limit_word& update) override
+    void server_limit_word_heard(const server_limit_update& update) override
     {
         this->limits.push_back(update);
     }
 
-    std::vector<server_limit_word> limits;
-    std::vector<quota_ask> asks;
-    std::vector<quota_answer> answers;
+    std::vector<server_limit_update> limits;
+    std::vector<quota_query> asks;
+    std::vector<quota_reply> answers;
     std::vector<router_report> routers;
     std::vector<directory_word> directories;
     std::vector<owner_announcement> owners;
@@ -152,18 +152,18 @@
     recording_listener listener;
     receiver.start(listener);
     constexpr std::size_t servers = 50;
-    server_limit_word update{"r1", {}};
+    server_limit_update update{"r1", {}};
     for (std::size_t i = 0; i < servers; ++i)
         update.limits.push_back({"i-" + std::to_string(i), 1.5, 700});
     const std::string recipients[] = {to_text(receiver_address)};
     test.sender.send(recipients, update);
-    std::vector<told_server_limit> arrived;
+    std::vector<server_limit_entry> arrived;
     run_until(
         test.loop,
         [&]
         {
             arrived.clear();
-            for (const server_limit_word& part : listener.limits)
+            for (const server_limit_update& part : listener.limits)
                 arrived.insert(
                     arrived.end(), part.limits.begin(), part.limits.end());
             return arrived.size() == servers;
@@ -299,15 +299,15 @@
         test.loop, receiver_address, test.events, test.meter);
     recording_listener listener;
     receiver.start(listener);
-    quota_ask ask;
+    quota_query ask;
     ask.router = "r1";
-    ask.heard_ago_us = 5;
-    ask.counts_in_us = 7;
+    ask.last_reply_age_us = 5;
+    ask.counting_delay_us = 7;
     ask.draws = {{1ULL << 40, "o1", 1540, 100'000}};
     ask.returns = {{"o2", 200}};
     test.sender.send(to_text(receiver_address), ask);
     test.sender.send(
-        to_text(receiver_address), quota_answer{"r2", {{9, true, 20}}});
+        to_text(receiver_address), quota_reply{"r2", {{9, true, 20}}});
     run_until(
         test.loop,
         [&]
@@ -315,8 +315,8 @@
             return !listener.asks.empty() && !listener.answers.empty();
         });
     cr_assert_eq(listener.asks[0].router, "r1");
-    cr_assert_eq(listener.asks[0].heard_ago_us, 5);
-    cr_assert_eq(listener.asks[0].counts_in_us, 7);
+    cr_assert_eq(listener.asks[0].last_reply_age_us, 5);
+    cr_assert_eq(listener.asks[0].counting_delay_us, 7);
     cr_assert_eq(listener.asks[0].draws[0].id, 1ULL << 40);
     cr_assert_eq(listener.asks[0].draws[0].amount, 1540);
     cr_assert_eq(listener.asks[0].returns[0].organisation, "o2");
