--- a/src/core/dissemination/copy_choice.hpp
+++ b/src/core/dissemination/copy_choice.hpp
@@ -13,66 +13,72 @@
 namespace roseworks
 {
 
-/// A router that may be asked for a copy.
+/// A router that copies can be requested from.
 struct copy_holder
 {
     std::string name;
     std::string address;
-    double capacity = 1; ///< of its VM, as it announced itself
+    double capacity = 1; ///< of its VM, as announced by the router
     std::string data_centre;
 };
 
-/** Whom a router asks for a copy of what the store keeps, and which routers
-    read the store first.
+/** Chooses the routers that a router requests copies of the store's topics
+    from, and the routers that read the store first.
 
-    After a start of all, each listing the whole registry would ask the store
-    for as many bulk reads as there are routers. So the few strongest of each
-    data centre read it, and the others of it ask these, and anybody, until one
-    has it: bytes between data centres cost the most. Who got no copy for too
-    long reads the store itself: nothing hangs on the few.
+    If all routers started at the same time and each listed the whole registry,
+    the store would have to serve as many bulk reads as there are routers.
+    Therefore only the few routers with the highest capacity in each data centre
+    read the store at once. The others request a copy, mostly within their data
+    centre because traffic between data centres is the most expensive. A router
+    that gets no copy in time reads the store itself, so that none of them
+    depends on the first readers.
 */
 class copy_choice
 {
 public:
     struct options
     {
-        /// Routers of a data centre that read the store at once.
+        /// Routers of each data centre that read the store at once.
         std::size_t first_readers = 4;
-        /// A router that knows nothing yet reads the store itself without a
-        /// copy after so long, and so much later each time that the routers
-        /// before it double: were the first readers gone, all would go at once.
+        /// A router without any data reads the store itself if it got no copy
+        /// for this time, multiplied by the number of times that the number of
+        /// routers ahead of it doubled. If the first readers fail, the others
+        /// thus read the store one after another instead of all at once.
         duration patience = std::chrono::milliseconds(1500);
         std::uint64_t seed = 1;
     };
 
     explicit copy_choice(options settings);
 
-    /// All routers that announced themselves, this one among them or not.
+    /// Sets the known routers.
+    /// @param routers All routers that announced themselves; may include
+    /// `self`.
     void
     routers_listed(const copy_holder& self, std::vector<copy_holder> routers);
 
-    /// @return Whether this router is one of those that read the store first,
-    ///         or knows of no other.
+    /// @return Whether this router is one of those that read the store at once.
+    ///         This is the case, too, when it knows of no other router.
     bool reads_first() const
     {
         return this->is_first;
     }
 
-    /// @return Whether one that knows nothing and has asked since then asks on,
-    ///         before it goes to the store.
+    /// @param since When a router without any data began to request copies.
+    /// @return      Whether it continues to do so instead of reading the store.
     bool is_patient(instant since, instant now) const
     {
         return now - since < this->settings.patience * this->doublings;
     }
 
-    /// @return Whom to ask next; empty when no other is known. Every second one
-    ///         is a first reader of this data centre, every fourth anybody at
-    ///         all, the rest of this data centre; more often the strong.
+    /// @return The address of the router to ask next; empty when no other is
+    ///         known. Of four, two are first readers of this data centre, one
+    ///         is any router of this data centre and one any router at all. The
+    ///         latter two are drawn in proportion to their capacity.
     std::optional<std::string> next();
 
 private:
-    /// Routers, and how often each is drawn.
-    struct drawn_routers
+    /// Routers that are drawn in proportion to their capacity.
+    struct weighted_routers
     {
         void clear();
         void add(const copy_holder& one);
@@ -83,12 +89,16 @@
     };
 
     options settings;
-    std::vector<std::string> first; ///< addresses of first readers
-    drawn_routers near;             ///< of this data centre
-    drawn_routers all;              ///< anywhere
+    std::vector<std::string>
+        first_reader_addresses;        ///< addresses of first readers
+    weighted_routers same_data_centre; ///< routers of this data centre
+    weighted_routers all_routers;      ///< routers of all data centres
     bool is_first = true;
-    int doublings = 0;     ///< from the first readers to this router
-    std::size_t asked = 0; ///< routers, so far
+    /// How often the number of first readers doubles until it exceeds the
+    /// number of routers ahead of this one.
+    int doublings = 0;
+    std::size_t request_count =
+        0; ///< number of routers returned by `next` so far
     std::mt19937_64 random;
 };
 
--- a/src/core/dissemination/copy_giver.cpp
+++ b/src/core/dissemination/copy_giver.cpp
@@ -23,17 +23,17 @@
         return nullptr;
     directory_copy copy;
     copy.state = state;
-    const bool is_news = !ask.knows_any || state.next > ask.next;
-    if (is_news && ask.topic == directory_topic::registry)
+    const bool has_newer = !ask.knows_any || state.next > ask.next;
+    if (has_newer && ask.topic == directory_topic::registry)
     {
-        auto changed =
+        auto newer_changes =
             ask.knows_any ? this->registry.since(ask.next) : std::nullopt;
-        if (!changed)
-            return this->whole(state, now);
+        if (!newer_changes)
+            return this->full_copy(state, now);
         copy.is_whole = false;
-        copy.servers = std::move(*changed);
+        copy.servers = std::move(*newer_changes);
     }
-    if (is_news && ask.topic == directory_topic::deployment)
+    if (has_newer && ask.topic == directory_topic::deployment)
     {
         copy.configuration = this->configuration;
         copy.offset = this->configuration_offset;
@@ -42,19 +42,19 @@
 }
 
 std::shared_ptr<const directory_copy>
-copy_giver::whole(const topic_state& state, instant now)
+copy_giver::full_copy(const topic_state& state, instant now)
 {
-    if (this->last_whole && now < this->last_whole_made + whole_kept)
-        return this->last_whole;
+    if (this->cached_copy && now < this->cached_at + full_copy_lifetime)
+        return this->cached_copy;
     directory_copy copy;
     copy.state = state;
-    // As old as it will be when it is given for the last time.
-    copy.state.age_us += whole_kept.count();
+    // State the age that the copy has when it is sent for the last time.
+    copy.state.age_us += full_copy_lifetime.count();
     copy.servers = this->registry.all();
     copy.removals_from = this->registry.remembered_from().value_or(state.next);
-    this->last_whole = std::make_shared<const directory_copy>(std::move(copy));
-    this->last_whole_made = now;
-    return this->last_whole;
+    this->cached_copy = std::make_shared<const directory_copy>(std::move(copy));
+    this->cached_at = now;
+    return this->cached_copy;
 }
 
 } // namespace roseworks
--- a/src/core/dissemination/copy_giver.hpp
+++ b/src/core/dissemination/copy_giver.hpp
@@ -13,35 +13,39 @@
 namespace roseworks
 {
 
-/// What this router gives to others that ask it for a topic of the store.
+/// Makes the copies of topics that other routers request from this one.
 class copy_giver
 {
 public:
-    /// A whole registry, written once, is given to all that ask within so long:
-    /// making it takes a weak VM longer than sending it.
-    static constexpr duration whole_kept = std::chrono::milliseconds(250);
-
-    /// @param changes The registry as it is known here; borrowed.
+    /// A copy of the whole registry is reused for all requests within this
+    /// time: on a VM with little CPU, making a copy takes longer than sending
+    /// it.
+    static constexpr duration full_copy_lifetime =
+        std::chrono::milliseconds(250);
+
+    /// @param changes The registry as known by this router; must outlive this
+    ///                object.
     explicit copy_giver(const registry_changes& changes);
 
-    /// A configuration that could be read, as the store keeps it.
+    /// Sets the configuration to copy.
+    /// @param text   A valid configuration, as stored.
+    /// @param offset Its offset.
     void configuration_read(std::string_view text, std::uint64_t offset);
 
-    /// @param state How far the topic that is asked for is known here, and how
-    ///              long ago nothing before that was missing.
-    /// @return      Null when nothing of the topic is known.
+    /// @param state How far this router knows the requested topic.
+    /// @return      Null when this router knows nothing of the topic.
     std::shared_ptr<const directory_copy>
     give(const copy_ask& ask, const topic_state& state, instant now);
 
 private:
     std::shared_ptr<const directory_copy>
-    whole(const topic_state& state, instant now);
+    full_copy(const topic_state& state, instant now);
 
     const registry_changes& registry;
     std::string configuration;
     std::uint64_t configuration_offset = 0;
-    std::shared_ptr<const directory_copy> last_whole;
-    instant last_whole_made;
+    std::shared_ptr<const directory_copy> cached_copy;
+    instant cached_at;
 };
 
 } // namespace roseworks
--- a/src/core/dissemination/directory_copy.cpp
+++ b/src/core/dissemination/directory_copy.cpp
@@ -7,7 +7,7 @@
     const directory_copy& copy, directory_topic topic, const topic_state& known)
 {
     const bool knows_any = known.age_us >= 0;
-    // Words may have told more while the copy was on its way.
+    // Updates may have arrived while the copy was in transit.
     if (copy.state.age_us < 0 || (knows_any && copy.state.next < known.next))
         return copy_use::none;
     if (knows_any && copy.state.next == known.next)
--- a/src/core/dissemination/directory_copy.hpp
+++ b/src/core/dissemination/directory_copy.hpp
@@ -10,19 +10,19 @@
 namespace roseworks
 {
 
-/// A topic of the store that routers copy from each other.
+/// A topic of the store that routers can copy from each other.
 enum class directory_topic : std::uint8_t
 {
     deployment = 1, ///< the operators' configuration
-    registry = 2    ///< of backend servers
+    registry = 2    ///< the backend servers
 };
 
-/// One router asks another for what that one knows of a topic.
+/// Requests a copy of a topic from another router.
 struct copy_ask
 {
     directory_topic topic = directory_topic::deployment;
-    bool knows_any = false; ///< it has read the topic before
-    std::uint64_t next = 0; ///< it knows all before this offset
+    bool knows_any = false; ///< the requester has read the topic before
+    std::uint64_t next = 0; ///< the requester knows all before this offset
 
     template <class Archive>
     void save(Archive& archive) const
@@ -42,23 +42,23 @@
     }
 };
 
-/** What a router knows of a topic, whole, for one that can't read the store or
-    needn't.
+/** A copy of a topic, for a router that cannot or need not read the store.
 
-    As true as the router that gives it: a configuration is decoded and checked
-    as if the store had given it, and counts only if its version is newer.
+    A copy is only as trustworthy as the router that sent it. A configuration is
+    decoded and checked as one read from the store, and applied only if its
+    version is newer.
 */
 struct directory_copy
 {
     topic_state state;
-    std::string configuration; ///< as the store keeps it; empty: no newer one
+    std::string configuration; ///< as stored; empty: no newer one
     std::uint64_t offset = 0;  ///< of the configuration
-    /// Whole entries and removals; entries without the copies of weights.
+    /// Full entries and removals; entries without the copies of weights.
     std::vector<registry_change> servers;
-    /// The servers are all there are, not only what changed since the ask's
-    /// offset.
+    /// Whether `servers` is the whole registry, rather than the changes since
+    /// the offset in the request.
     bool is_whole = true;
-    /// Of a whole registry: its removals from this offset on are among them.
+    /// If `is_whole`, `servers` includes all removals from this offset on.
     std::uint64_t removals_from = 0;
 
     template <class Archive>
@@ -74,23 +74,24 @@
     }
 };
 
-/// What a copy is worth to its asker.
+/// What a received copy contributes to the state of the requester.
 enum class copy_use : std::uint8_t
 {
-    none,     ///< older than what is known, or it says nothing
-    confirms, ///< as far as what is known, and as of when
-    changes,  ///< what is new in the registry since what is known
-    whole     ///< the configuration, or all of the registry
+    none,     ///< nothing: it is older than the state, or empty
+    confirms, ///< no change, but it confirms the state as of a later time
+    changes,  ///< the changes of the registry since the state
+    whole     ///< the configuration, or the whole registry
 };
 
-/// @param known How far the asker knows the topic by now; its age is below zero
-///              where it knows nothing.
+/// Decides how a received copy is used.
+/// @param known How far the requester knows the topic by now; its age is
+///              negative if it knows nothing.
 copy_use judge(
     const directory_copy& copy,
     directory_topic topic,
     const topic_state& known);
 
-/// @return The registry of a whole copy.
+/// @return The entries of a copy of the whole registry, without removals.
 std::vector<server_entry> entries_of(const directory_copy& copy);
 
 } // namespace roseworks
--- a/src/core/dissemination/directory_word.hpp
+++ b/src/core/dissemination/directory_word.hpp
@@ -9,11 +9,12 @@
 namespace roseworks
 {
 
-/// How far a router has read one topic of the store.
+/// How far a router knows one topic of the store.
 struct topic_state
 {
-    std::uint64_t next = 0; ///< the offset after the last one read
-    /// How long ago nothing before it was missing; below zero: not known.
+    std::uint64_t next = 0; ///< the offset after the last known record
+    /// How long ago all records before `next` were known to be all there are;
+    /// negative: nothing is known.
     std::int64_t age_us = -1;
 
     template <class Archive>
@@ -23,19 +24,21 @@
     }
 };
 
-/// What one router has read of the store, told to all others: the placement
-/// owner after each of its reads, and whoever had to read while nobody told.
-/// May be lost or late: who misses one reads the store itself.
+/// Announces to all other routers what one router has read from the store. It
+/// is sent by the placement owner after each of its reads, and by a router that
+/// read the store because no update arrived. Updates may be lost or late: a
+/// router that misses one reads the store itself.
 struct directory_word
 {
     topic_state deployment; ///< of the configuration
     topic_state registry;
     topic_state routers;
-    /// The changes account for all of the registry from here to its state.
+    /// `changes` holds all changes of the registry from this offset up to
+    /// `registry.next`.
     std::uint64_t registry_from = 0;
     std::vector<registry_change> changes; ///< in order of their offsets
-    /// How long the store has answered again after it was away; below zero: it
-    /// wasn't away lately.
+    /// How long ago the store became reachable again; negative: there was no
+    /// recent outage.
     std::int64_t back_for_us = -1;
 
     template <class Archive>
@@ -51,15 +54,15 @@
     }
 };
 
-/// @return The size of all changes of a word, about.
+/// @return The approximate encoded size of all changes.
 std::size_t changes_bytes(const directory_word& word);
 
-/** Cuts a word that is too long for a packet into several. Each accounts for a
-    part of the registry, so that one that is lost leaves a gap which its
-    hearer sees.
+/** Splits an update that is too large for one datagram. Each part covers a
+    range of offsets of the registry, so that a receiver detects a lost part as
+    a gap.
 
-    @param room Bytes of changes in one word at most, where one has that much
-                room.
+    @param room Maximum size of the changes of a part in bytes. A change that is
+                larger is sent in a part of its own.
 */
 std::vector<directory_word> split(const directory_word& word, std::size_t room);
 
--- a/src/core/dissemination/registry_change.cpp
+++ b/src/core/dissemination/registry_change.cpp
@@ -6,13 +6,13 @@
 namespace
 {
 
-/// Control characters, which no name has.
-constexpr char next_model = '\x1f';
-constexpr char next_adapter = '\x1e';
+/// Separators. Names contain no control characters.
+constexpr char model_separator = '\x1f';
+constexpr char adapter_separator = '\x1e';
 
-/// Of a change beside its texts: numbers, and the lengths of texts.
-constexpr std::size_t head_bytes = 32;
-constexpr std::size_t whole_head_bytes = 48;
+/// Size of the numbers of a change and of the lengths of its texts.
+constexpr std::size_t base_bytes = 32;
+constexpr std::size_t full_entry_bytes = 48;
 
 std::string_view take_until(std::string_view& text, char end)
 {
@@ -31,11 +31,11 @@
     for (const resident_model& model : models)
     {
         if (!text.empty())
-            text += next_model;
+            text += model_separator;
         text += model.name;
         for (const std::string& adapter : model.adapters)
         {
-            text += next_adapter;
+            text += adapter_separator;
             text += adapter;
         }
     }
@@ -47,25 +47,25 @@
     std::vector<resident_model> models;
     while (!text.empty())
     {
-        std::string_view one = take_until(text, next_model);
+        std::string_view one = take_until(text, model_separator);
         resident_model& model = models.emplace_back();
-        model.name = take_until(one, next_adapter);
+        model.name = take_until(one, adapter_separator);
         while (!one.empty())
-            model.adapters.emplace_back(take_until(one, next_adapter));
+            model.adapters.emplace_back(take_until(one, adapter_separator));
     }
     return models;
 }
 
 std::size_t registry_change::bytes() const
 {
-    const std::size_t always = head_bytes + this->entry.id.size();
+    const std::size_t always = base_bytes + this->entry.id.size();
     if (this->what == kind::gone)
         return always;
     const std::size_t models =
         always + pack(this->entry.holdings.resident).size();
     if (this->what == kind::models)
         return models;
-    return models + whole_head_bytes + this->entry.service.size() +
+    return models + full_entry_bytes + this->entry.service.size() +
            this->entry.address.size() + this->entry.data_centre.size();
 }
 
--- a/src/core/dissemination/registry_change.hpp
+++ b/src/core/dissemination/registry_change.hpp
@@ -12,13 +12,15 @@
 namespace roseworks
 {
 
-/// What an engine holds as one short text: most changes are of that.
+/// Encodes the models of an engine as a short text, since most changes of the
+/// registry are changes of models.
 std::string pack(std::span<const resident_model> models);
 
-/// @return What was packed; of other text, whatever names are in it.
+/// Decodes a text made by `pack`. Any other text gives the names that can be
+/// found in it.
 std::vector<resident_model> unpack(std::string_view text);
 
-/// A change of the registry of backend servers that matters to routing.
+/// A change of the registry of backend servers that affects routing.
 struct registry_change
 {
     enum class kind : std::uint8_t
@@ -28,14 +30,14 @@
         gone
     };
 
-    std::uint64_t offset = 0; ///< the registry's number of it
+    std::uint64_t offset = 0; ///< of the change in the registry topic
     kind what = kind::whole;
-    /// Only its id counts of one that is gone, and its models where only those
-    /// changed. Without the copies of weights that an engine keeps: they are
-    /// long, and only the placement owner uses them, which reads them itself.
+    /// For `gone`, only the id is valid; for `models`, the id and the models.
+    /// The lists of weight copies on an engine are left out: they are long, and
+    /// only the placement owner needs them, which reads them from the store.
     server_entry entry;
 
-    /// @return Its size in a word, about.
+    /// @return The approximate encoded size.
     std::size_t bytes() const;
 
     template <class Archive>
--- a/src/core/dissemination/registry_changes.cpp
+++ b/src/core/dissemination/registry_changes.cpp
@@ -11,21 +11,21 @@
 
 server_entry without_copies(const server_entry& entry)
 {
-    server_entry made = entry;
-    made.holdings.in_memory.clear();
-    made.holdings.on_disk.clear();
-    made.holdings.copies_known = false;
-    return made;
+    server_entry result = entry;
+    result.holdings.in_memory.clear();
+    result.holdings.on_disk.clear();
+    result.holdings.copies_known = false;
+    return result;
 }
 
 registry_change gone_change(std::string_view id, std::uint64_t offset)
 {
-    registry_change made{offset, registry_change::kind::gone, {}};
-    made.entry.id = id;
-    return made;
+    registry_change result{offset, registry_change::kind::gone, {}};
+    result.entry.id = id;
+    return result;
 }
 
-/// @return Whether two entries differ in nothing but their models.
+/// @return Whether two entries differ in their models at most.
 bool same_but_models(const server_entry& before, const server_entry& now)
 {
     server_entry moved = now;
@@ -38,8 +38,9 @@
 void registry_changes::listed(std::span<const server_entry> all)
 {
     this->known.clear();
-    this->collected.clear();
-    // What was to be told isn't known any more.
+    this->pending.clear();
+    // The pending changes were discarded, so they must not be announced as
+    // complete from this offset on.
     this->first_untold.reset();
     this->removals.clear();
     this->removals_from.reset();
@@ -56,14 +57,18 @@
 void registry_changes::read(const server_entry& entry)
 {
     using enum registry_change::kind;
-    server_entry told = without_copies(entry);
+    server_entry routing_entry = without_copies(entry);
     const auto found = this->known.find(entry.id);
     const bool is_known = found != this->known.end();
-    if (is_known && found->second == told)
+    if (is_known && found->second == routing_entry)
         return;
-    const bool models_only = is_known && same_but_models(found->second, told);
-    this->known.insert_or_assign(entry.id, told);
-    this->collect({told.heard, models_only ? models : whole, std::move(told)});
+    const bool models_only =
+        is_known && same_but_models(found->second, routing_entry);
+    this->known.insert_or_assign(entry.id, routing_entry);
+    this->add_pending(
+        {routing_entry.heard,
+         models_only ? models : whole,
+         std::move(routing_entry)});
 }
 
 void registry_changes::removed(std::string_view id, std::uint64_t offset)
@@ -72,19 +77,19 @@
     if (found != this->known.end())
         this->known.erase(found);
     this->remember_removal(id, offset);
-    this->collect(gone_change(id, offset));
+    this->add_pending(gone_change(id, offset));
 }
 
-void registry_changes::collect(registry_change change)
+void registry_changes::add_pending(registry_change change)
 {
     using enum registry_change::kind;
-    const auto before = this->collected.find(change.entry.id);
-    const bool more_changed = before != this->collected.end() &&
-                              before->second.what != models &&
-                              change.what == models;
-    if (more_changed)
+    const auto before = this->pending.find(change.entry.id);
+    const bool full_entry_pending = before != this->pending.end() &&
+                                    before->second.what != models &&
+                                    change.what == models;
+    if (full_entry_pending)
         change.what = whole;
-    this->collected.insert_or_assign(change.entry.id, std::move(change));
+    this->pending.insert_or_assign(change.entry.id, std::move(change));
 }
 
 std::vector<registry_change> registry_changes::all() const
@@ -93,8 +98,8 @@
     entries.reserve(this->known.size());
     for (const auto& [id, entry] : this->known)
         entries.push_back({entry.heard, registry_change::kind::whole, entry});
-    for (const removal& one : this->removals)
-        entries.push_back(gone_change(one.id, one.offset));
+    for (const removal& item : this->removals)
+        entries.push_back(gone_change(item.id, item.offset));
     return entries;
 }
 
@@ -112,9 +117,9 @@
 void registry_changes::remember_removal(
     std::string_view id, std::uint64_t offset)
 {
-    constexpr std::size_t most_removals = 512;
+    constexpr std::size_t max_removals = 512;
     this->removals.push_back({std::string(id), offset});
-    if (this->removals.size() <= most_removals)
+    if (this->removals.size() <= max_removals)
         return;
     this->removals_from = this->removals.front().offset + 1;
     this->removals.pop_front();
@@ -132,11 +137,11 @@
             changes.push_back(
                 {entry.heard, registry_change::kind::whole, entry});
     }
-    for (const removal& one : this->removals)
+    for (const removal& item : this->removals)
     {
-        if (one.offset < offset || this->known.contains(one.id))
+        if (item.offset < offset || this->known.contains(item.id))
             continue;
-        changes.push_back(gone_change(one.id, one.offset));
+        changes.push_back(gone_change(item.id, item.offset));
     }
     std::ranges::sort(changes, {}, &registry_change::offset);
     return changes;
@@ -150,12 +155,12 @@
 
 bool registry_changes::only_models() const
 {
-    return !this->collected.empty() &&
+    return !this->pending.empty() &&
            std::ranges::all_of(
-               this->collected,
-               [](const auto& one)
+               this->pending,
+               [](const auto& item)
                {
-                   return one.second.what == registry_change::kind::models;
+                   return item.second.what == registry_change::kind::models;
                });
 }
 
@@ -182,9 +187,9 @@
 std::vector<registry_change> registry_changes::take()
 {
     std::vector<registry_change> changes;
-    for (auto& [id, change] : this->collected)
+    for (auto& [id, change] : this->pending)
         changes.push_back(std::move(change));
-    this->collected.clear();
+    this->pending.clear();
     this->first_untold.reset();
     std::ranges::sort(changes, {}, &registry_change::offset);
     return changes;
--- a/src/core/dissemination/registry_changes.hpp
+++ b/src/core/dissemination/registry_changes.hpp
@@ -14,74 +14,81 @@
 namespace roseworks
 {
 
-/** The registry as routing has to know it, and the changes of it that were read
-    here and that the other routers have to be told.
+/** The part of the registry that affects routing, and the changes of it that
+    this router has read and not announced to the other routers yet.
 
     Servers write to the registry at each heartbeat, and whenever a copy of
-    weights comes or goes: nearly all of that changes nothing for a router.
-    Whoever knows all up to one offset knows the same, so that a change since
-    then means the same to all.
+    weights is added or removed. Nearly all of these writes change nothing for a
+    router and are left out. All routers that know the registry up to the same
+    offset have the same entries, so that a later change has the same effect on
+    each of them.
 */
 class registry_changes
 {
 public:
-    /// The whole registry was read: what comes later is compared with it.
+    /// Replaces all entries by a listing of the whole registry. Discards the
+    /// changes that were not announced yet.
     void listed(std::span<const server_entry> all);
 
-    /// What was listed is known as of this offset.
+    /// Sets the offset that the last listing is valid for.
     void listed_as_of(std::uint64_t offset);
 
+    /// This router has read an entry from the store.
     void read(const server_entry& entry);
+
+    /// This router has read from the store that an entry was removed.
     void removed(std::string_view id, std::uint64_t offset);
 
-    /** Another router read a change.
+    /** Applies a change that another router announced.
 
-        @return The entry as it is now; empty when it is gone, or when it
-                isn't known of what it is a change.
+        @return The new entry; empty when it was removed, or when the change is
+                one of models and the entry is unknown.
     */
     std::optional<server_entry> told(const registry_change& change);
 
-    /// @return Every entry that is known, whole, and the removals that are
-    ///         remembered, for one who knows none.
+    /// @return All entries in full and all known removals, for a router without
+    ///         any data.
     std::vector<registry_change> all() const;
 
-    /// @return All removals from this offset on are remembered; empty: none
-    ///         surely.
+    /// @return The offset from which on all removals are known; empty: unknown.
     std::optional<std::uint64_t> remembered_from() const
     {
         return this->removals_from;
     }
 
-    /// Takes what another router remembers beside what it listed: this one can
-    /// tell the same then.
+    /// Takes over the removals in another router's copy of the registry, so
+    /// that this router can answer `since` from the same offset.
+    /// @param from All removals from this offset on are in `changed`.
     void remember(std::uint64_t from, std::span<const registry_change> changed);
 
-    /** @return What changed from an offset on, in order, for one who knows all
-                before it; empty when it isn't known here any more.
+    /** @return The changes from an offset on, in order, for a router that knows
+                all before it; empty when the removals since then are not known.
     */
     std::optional<std::vector<registry_change>>
     since(std::uint64_t offset) const;
 
-    /// @return Whether there are changes, and all are of what engines hold:
-    ///         none of a server that came, went or leaves.
+    /// @return Whether there are changes to announce and all are changes of the
+    ///         models on engines: none is a server that was added, was removed
+    ///         or is leaving.
     bool only_models() const;
 
-    /// Everything from an offset on was read here, and is to be told.
+    /// This router has read all changes from an offset on, which have to be
+    /// announced.
     void to_tell_from(std::uint64_t offset);
 
-    /// @return Since which offset what was read here wasn't told; empty: there
-    ///         is nothing.
+    /// @return The offset from which on the changes read by this router are not
+    ///         announced; empty: none are left to announce.
     std::optional<std::uint64_t> untold_from() const
     {
         return this->first_untold;
     }
 
-    /// @return The last change of each server that was read here since the last
-    ///         call, in order. Nothing is untold then.
+    /// @return The last change of each server that this router has read since
+    ///         the last call, in order. They count as announced from now on.
     std::vector<registry_change> take();
 
 private:
-    void collect(registry_change change);
+    void add_pending(registry_change change);
     void remember_removal(std::string_view id, std::uint64_t offset);
 
     struct removal
@@ -91,10 +98,10 @@
     };
 
     std::map<std::string, server_entry, std::less<>> known; ///< by id
-    std::map<std::string, registry_change, std::less<>> collected;
+    std::map<std::string, registry_change, std::less<>> pending;
     std::optional<std::uint64_t> first_untold;
-    std::deque<removal> removals; ///< the last ones, in order
-    /// Removals from here on are all remembered; empty: not known yet.
+    std::deque<removal> removals; ///< the last removals, in order
+    /// All removals from this offset on are known; empty: unknown.
     std::optional<std::uint64_t> removals_from;
 };
 
--- a/src/core/dissemination/topic_progress.cpp
+++ b/src/core/dissemination/topic_progress.cpp
@@ -15,8 +15,9 @@
     this->known = std::max(this->known.value_or(0), next);
     this->known_as_of = std::max(this->known_as_of, as_of);
     this->last_read = std::max(this->last_read, as_of);
-    // What was announced and isn't there is announced again: no read for it is
-    // repeated without a pause.
+    // Announced changes that the store did not return are forgotten until they
+    // are announced again. Otherwise a store that lags behind the announcements
+    // would be read over and over without a pause.
     this->announced = *this->known;
 }
 
@@ -35,14 +36,14 @@
     if (!this->behind())
         this->announced_at = as_of;
     this->announced = std::max(this->announced, next);
-    const bool joins = from <= *this->known;
-    if (next > *this->known && !joins)
+    const bool is_contiguous = from <= *this->known;
+    if (next > *this->known && !is_contiguous)
         return std::nullopt;
-    const bool is_news = next > *this->known;
+    const bool has_new = next > *this->known;
     const std::uint64_t first = *this->known;
     this->known = next;
     this->known_as_of = std::max(this->known_as_of, as_of);
-    return is_news ? std::optional(first) : std::nullopt;
+    return has_new ? std::optional(first) : std::nullopt;
 }
 
 bool topic_progress::behind() const
@@ -59,10 +60,11 @@
 {
     if (!this->known)
         return instant::min();
-    const instant too_old = this->known_as_of + this->settings.most_age;
+    const instant too_old = this->known_as_of + this->settings.max_age;
     if (!this->behind())
         return too_old;
-    return std::min(too_old, this->last_read + this->settings.rest);
+    return std::min(
+        too_old, this->last_read + this->settings.min_read_interval);
 }
 
 } // namespace roseworks
--- a/src/core/dissemination/topic_progress.hpp
+++ b/src/core/dissemination/topic_progress.hpp
@@ -8,58 +8,59 @@
 namespace roseworks
 {
 
-/** How far a router knows one topic of the store, and as of when.
+/** Tracks how far a router knows one topic of the store, and as of when.
 
-    Most routers learn of a topic from the one that reads it for all. A router
-    reads it itself only when what it knows has grown too old, or when it
-    missed something: so its bounds hold without the others' help, and the
-    store's load doesn't grow with the number of routers.
+    Most routers receive the changes of a topic from the one router that reads
+    the store for all. A router reads the topic itself only when its data is too
+    old or when it has missed an update. The bound on the age of its data thus
+    does not depend on other routers, and the load on the store does not grow
+    with the number of routers.
 */
 class topic_progress
 {
 public:
     struct options
     {
-        /// What is known is read anew when it is older.
-        duration most_age = std::chrono::seconds(1);
-        /// Between two reads for news that others told of: what comes in quick
-        /// succession is read together.
-        duration rest = duration::zero();
+        /// The topic is read when the data is older.
+        duration max_age = std::chrono::seconds(1);
+        /// Minimum time between two reads that are caused by announced changes,
+        /// so that changes in quick succession are read together.
+        duration min_read_interval = duration::zero();
     };
 
     explicit topic_progress(options settings);
 
     /// This router has read the topic.
     /// @param next  The offset to read from next.
-    /// @param as_of Nothing before that offset was missing at this instant.
+    /// @param as_of All records before `next` were known at this time.
     void read(std::uint64_t next, instant as_of);
 
-    /// Another router gave a copy of the topic, whole. As `read`, but what was
-    /// announced and isn't in the copy is still missing.
+    /// Another router sent a copy of the whole topic. Unlike after `read`,
+    /// announced changes that the copy does not contain are still missing.
     void copied(std::uint64_t next, instant as_of);
 
-    /** Another router told what it read.
+    /** Another router announced the changes that it read.
 
-        A teller that knows less than this router is not believed: it may have
-        been cut off from the store.
+        An announcement that ends before the data of this router is ignored: its
+        sender may be disconnected from the store.
 
-        @param from  The first offset that it told of.
-        @param next  The offset after the last one.
+        @param from  The first offset that is announced.
+        @param next  The offset after the last one that is announced.
         @param as_of As in `read`.
-        @return      The first offset that is news here, where what was told
-                     joins on to what is known; it counts as known then.
-                     Otherwise empty.
+        @return      The first announced offset that is new to this router;
+       empty if none is new or there is a gap before the announced offsets.
+       Without a gap, all before `next` counts as known.
     */
     std::optional<std::uint64_t>
     heard(std::uint64_t from, std::uint64_t next, instant as_of);
 
-    /// @return When this router is to read the topic itself.
+    /// @return When this router has to read the topic itself.
     instant due() const;
 
-    /// @return Whether something is known to be missing.
+    /// @return Whether announced changes are missing.
     bool behind() const;
 
-    /// @return Since when; empty while nothing is.
+    /// @return Since when announced changes are missing; empty if none are.
     std::optional<instant> behind_since() const;
 
     /// @return The offset to read from next; empty before the first read.
@@ -68,7 +69,7 @@
         return this->known;
     }
 
-    /// @return The offset after the last one that others are known to have.
+    /// @return The offset after the last one that was announced.
     std::uint64_t last_announced() const
     {
         return this->announced;
@@ -79,17 +80,17 @@
         return this->known_as_of;
     }
 
-    /// From now on what is known may be so old.
-    void limit_age(duration most_age)
+    /// Sets the maximum age of the data.
+    void limit_age(duration max_age)
     {
-        this->settings.most_age = most_age;
+        this->settings.max_age = max_age;
     }
 
 private:
     options settings;
     std::optional<std::uint64_t> known;
-    std::uint64_t announced = 0; ///< others have read up to here
-    instant announced_at;        ///< the first word of what is missing
+    std::uint64_t announced = 0; ///< the offset after the last announced one
+    instant announced_at; ///< first announcement of changes still missing
     instant known_as_of;
     instant last_read;
 };
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -42,7 +42,7 @@
 
 std::vector<membership::outgoing> membership::take_outgoing()
 {
-    return std::exchange(this->self->sends, {});
+    return std::exchange(this->self->datagrams, {});
 }
 
 std::vector<servable_demand> membership::take_demands()
--- a/src/core/membership/membership_gossip.cpp
+++ b/src/core/membership/membership_gossip.cpp
@@ -10,14 +10,14 @@
     session_id session, std::span<const member> list, instant now)
 {
     peer_map kept;
-    for (const member& item : list)
+    for (const member& listed : list)
     {
-        if (item.session == session)
+        if (listed.session == session)
             continue;
-        const auto old = this->peers.find(item.session);
-        peer value = old == this->peers.end() ? peer{} : old->second;
-        value.address = item.address;
-        kept.emplace(item.session, std::move(value));
+        const auto old = this->peers.find(listed.session);
+        peer kept_peer = old == this->peers.end() ? peer{} : old->second;
+        kept_peer.address = listed.address;
+        kept.emplace(listed.session, std::move(kept_peer));
     }
     const bool same = this->own == session &&
                       kept.size() == this->peers.size() &&
@@ -38,7 +38,7 @@
         return;
     this->changed = true;
     std::erase_if(
-        this->waiting,
+        this->outstanding_probes,
         [&](const outstanding& w)
         {
             return !this->peers.contains(w.target);
@@ -52,35 +52,38 @@
     if (found == this->peers.end() || !this->own)
         return;
     peer_message message{this->own, body, {}};
-    message.updates = this->news.take(this->peers.size());
-    // A member that we think suspect or dead hears it first, to refute it.
+    message.updates = this->update_backlog.take(this->peers.size());
+    // A member that this router takes for suspect or dead is told so, so that
+    // it can refute it.
     if (found->second.state != liveness::alive)
     {
-        const member_update doubt{
+        const member_update suspicion{
             to, found->second.incarnation, found->second.state};
         if (message.updates.size() == max_updates)
             message.updates.pop_back();
-        message.updates.push_back(doubt);
+        message.updates.push_back(suspicion);
     }
-    this->sends.push_back(outgoing{found->second.address, std::move(message)});
+    this->datagrams.push_back(
+        outgoing{found->second.address, std::move(message)});
 }
 
 void membership::impl::set_state(
-    session_id session, peer& about, liveness state)
+    session_id session, peer& record, liveness state)
 {
-    const bool was_counted = about.state != liveness::dead;
-    about.state = state;
-    this->news.push(member_update{session, about.incarnation, state});
-    if (was_counted != (state != liveness::dead))
+    const bool was_live = record.state != liveness::dead;
+    record.state = state;
+    this->update_backlog.push(
+        member_update{session, record.incarnation, state});
+    if (was_live != (state != liveness::dead))
         this->changed = true;
 }
 
-void membership::impl::suspect(session_id session, peer& about, instant now)
+void membership::impl::suspect(session_id session, peer& record, instant now)
 {
-    if (about.state != liveness::alive)
+    if (record.state != liveness::alive)
         return;
-    about.suspected = now;
-    this->set_state(session, about, liveness::suspect);
+    record.suspected = now;
+    this->set_state(session, record, liveness::suspect);
 }
 
 void membership::impl::merge_own(const member_update& update)
@@ -90,7 +93,7 @@
     if (update.incarnation < this->own_incarnation)
         return;
     this->own_incarnation = update.incarnation + 1;
-    this->news.push(
+    this->update_backlog.push(
         member_update{this->own, this->own_incarnation, liveness::alive});
 }
 
@@ -104,31 +107,31 @@
     const auto found = this->peers.find(update.session);
     if (found == this->peers.end())
         return;
-    peer& about = found->second;
-    const bool newer = update.incarnation > about.incarnation;
-    const bool worse =
-        update.incarnation == about.incarnation && update.state > about.state;
-    if (!newer && !worse)
+    peer& record = found->second;
+    const bool newer = update.incarnation > record.incarnation;
+    const bool overrides =
+        update.incarnation == record.incarnation && update.state > record.state;
+    if (!newer && !overrides)
         return;
-    about.incarnation = update.incarnation;
+    record.incarnation = update.incarnation;
     if (update.state == liveness::suspect)
-        about.suspected = now;
-    this->set_state(update.session, about, update.state);
+        record.suspected = now;
+    this->set_state(update.session, record, update.state);
 }
 
 void membership::impl::received(const peer_message& message, instant now)
 {
     if (!this->own || message.from == this->own)
         return;
-    // What a session says that isn't in the log may be an old datagram again.
+    // A datagram of a session that is not in the log may be a replay.
     if (!this->peers.contains(message.from))
         return;
     for (const member_update& update : message.updates)
         this->merge(update, now);
     if (const auto* body = std::get_if<probe>(&message.body))
         this->answer(*body, message.from);
-    else if (const auto* asked = std::get_if<indirect_probe>(&message.body))
-        this->relay(*asked, message.from, now);
+    else if (const auto* indirect = std::get_if<indirect_probe>(&message.body))
+        this->relay(*indirect, message.from, now);
     else if (const auto* ack = std::get_if<probe_ack>(&message.body))
         this->acknowledged(*ack);
     else if (const auto* wanted = std::get_if<servable_demand>(&message.body))
@@ -152,9 +155,9 @@
     std::vector<session_id> sessions;
     if (this->own)
         sessions.push_back(this->own);
-    for (const auto& [session, about] : this->peers)
+    for (const auto& [session, record] : this->peers)
     {
-        if (about.state != liveness::dead)
+        if (record.state != liveness::dead)
             sessions.push_back(session);
     }
     std::ranges::sort(sessions);
--- a/src/core/membership/membership_impl.hpp
+++ b/src/core/membership/membership_impl.hpp
@@ -15,10 +15,11 @@
 namespace roseworks
 {
 
-/** The state of `membership` and its events.
+/** The implementation of `membership`, a SWIM-style failure detector.
 
-    Who is a member and what is said of members is in membership_gossip.cpp,
-    probes and their timers in membership_probes.cpp. Hint only.
+    membership_gossip.cpp holds the list of members and the exchange of updates,
+    membership_probes.cpp the probes and their timers. Advisory: nothing is
+    decided by it.
 */
 class membership::impl
 {
@@ -39,7 +40,7 @@
     std::optional<liveness> state_of(session_id session) const;
     instant next_tick() const;
 
-    std::vector<outgoing> sends;
+    std::vector<outgoing> datagrams;
     std::vector<servable_demand> demands;
     std::vector<caller_visit> visits;
     bool changed = false;
@@ -53,21 +54,21 @@
         instant suspected;
     };
 
-    /// A probe of ours that awaits its acknowledgement.
+    /// A probe of this router that awaits its acknowledgement.
     struct outstanding
     {
         std::uint64_t sequence = 0;
         session_id target;
         instant sent;
-        bool asked_others = false;
+        bool indirect_sent = false;
     };
 
-    /// A probe made on another router's behalf.
-    struct relayed
+    /// A probe that was sent on behalf of another router.
+    struct relayed_probe
     {
         std::uint64_t own_sequence = 0;
-        std::uint64_t their_sequence = 0;
-        session_id asker;
+        std::uint64_t requester_sequence = 0;
+        session_id requester;
         session_id target;
         instant sent;
     };
@@ -75,33 +76,33 @@
     using peer_map = std::map<session_id, peer>;
 
     void send(session_id to, const decltype(peer_message::body)& body);
-    void set_state(session_id session, peer& about, liveness state);
+    void set_state(session_id session, peer& record, liveness state);
     void merge(const member_update& update, instant now);
     void merge_own(const member_update& update);
-    void suspect(session_id session, peer& about, instant now);
-    void heard_from(session_id session);
+    void suspect(session_id session, peer& record, instant now);
+    void mark_answered(session_id session);
     void answer(const probe& body, session_id from);
     void relay(const indirect_probe& body, session_id from, instant now);
     void acknowledged(const probe_ack& body);
-    void ask_others(outstanding& asked);
+    void send_indirect_probes(outstanding& pending);
     void probe_failed(session_id target, instant now);
     void check_outstanding(instant now);
     void check_suspects(instant now);
     void probe_next(instant now);
     session_id next_target();
-    void shuffle_round();
-    duration stretched(duration base) const;
+    void shuffle_probe_round();
+    duration scaled_timeout(duration base) const;
 
     options settings;
     std::mt19937_64 random;
     session_id own;
     std::uint32_t own_incarnation = 0;
-    std::uint32_t own_misses = 0;
+    std::uint32_t local_failures = 0;
     peer_map peers;
-    std::vector<session_id> round;
-    detail::update_queue news;
-    std::vector<outstanding> waiting;
-    std::vector<relayed> relays;
+    std::vector<session_id> probe_round;
+    detail::update_queue update_backlog;
+    std::vector<outstanding> outstanding_probes;
+    std::vector<relayed_probe> relayed_probes;
     std::uint64_t sequence = 0;
     instant next_probe{};
 };
--- a/src/core/membership/membership_probes.cpp
+++ b/src/core/membership/membership_probes.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-/// Missed probes of its own that a router blames on itself at most; each
-/// lengthens its timeouts, so that one that is cut off or slow suspects late.
-constexpr std::uint32_t max_own_misses = 4;
+/// Limit of `local_failures`, the failed probes that a router attributes to
+/// itself. Each of them lengthens its timeouts by their base value, so that a
+/// router that is slow or disconnected is slow to suspect others.
+constexpr std::uint32_t max_local_failures = 4;
 
 } // namespace
 
@@ -28,67 +29,68 @@
     if (!this->peers.contains(body.target))
         return;
     std::uint64_t const number = ++this->sequence;
-    this->relays.push_back(
-        relayed{number, body.sequence, from, body.target, now});
+    this->relayed_probes.push_back(
+        relayed_probe{number, body.sequence, from, body.target, now});
     this->send(body.target, probe{number, body.target});
 }
 
-void membership::impl::heard_from(session_id session)
+void membership::impl::mark_answered(session_id session)
 {
     std::erase_if(
-        this->waiting,
+        this->outstanding_probes,
         [&](const outstanding& w)
         {
             return w.target == session;
         });
-    if (this->own_misses > 0)
-        --this->own_misses;
+    if (this->local_failures > 0)
+        --this->local_failures;
 }
 
 void membership::impl::acknowledged(const probe_ack& body)
 {
     const auto relay = std::ranges::find_if(
-        this->relays,
-        [&](const relayed& r)
+        this->relayed_probes,
+        [&](const relayed_probe& r)
         {
             return r.own_sequence == body.sequence && r.target == body.target;
         });
-    if (relay != this->relays.end())
+    if (relay != this->relayed_probes.end())
     {
         this->send(
-            relay->asker, probe_ack{relay->their_sequence, relay->target});
-        this->relays.erase(relay);
+            relay->requester,
+            probe_ack{relay->requester_sequence, relay->target});
+        this->relayed_probes.erase(relay);
         return;
     }
-    const bool ours = std::ranges::any_of(
-        this->waiting,
+    const bool is_own = std::ranges::any_of(
+        this->outstanding_probes,
         [&](const outstanding& w)
         {
             return w.sequence == body.sequence && w.target == body.target;
         });
-    if (ours)
-        this->heard_from(body.target);
+    if (is_own)
+        this->mark_answered(body.target);
 }
 
-duration membership::impl::stretched(duration base) const
+duration membership::impl::scaled_timeout(duration base) const
 {
-    return base * (1 + this->own_misses);
+    return base * (1 + this->local_failures);
 }
 
-void membership::impl::ask_others(outstanding& asked)
+void membership::impl::send_indirect_probes(outstanding& pending)
 {
-    asked.asked_others = true;
-    std::vector<session_id> helpers;
-    for (const auto& [session, about] : this->peers)
+    pending.indirect_sent = true;
+    std::vector<session_id> proxies;
+    for (const auto& [session, record] : this->peers)
     {
-        if (session != asked.target && about.state == liveness::alive)
-            helpers.push_back(session);
+        if (session != pending.target && record.state == liveness::alive)
+            proxies.push_back(session);
     }
-    std::ranges::shuffle(helpers, this->random);
-    if (helpers.size() > this->settings.fanout)
-        helpers.resize(this->settings.fanout);
-    for (session_id helper : helpers)
-        this->send(helper, indirect_probe{asked.sequence, asked.target});
+    std::ranges::shuffle(proxies, this->random);
+    if (proxies.size() > this->settings.fanout)
+        proxies.resize(this->settings.fanout);
+    for (session_id proxy : proxies)
+        this->send(proxy, indirect_probe{pending.sequence, pending.target});
 }
 
 void membership::impl::probe_failed(session_id target, instant now)
@@ -96,33 +98,37 @@
     const auto found = this->peers.find(target);
     if (found == this->peers.end())
         return;
-    // A member already in doubt says nothing about this router's own network.
+    // A failed probe of a member that is already suspect or dead is no evidence
+    // of a fault on the side of this router.
     if (found->second.state != liveness::alive)
         return;
     this->suspect(target, found->second, now);
-    this->own_misses = std::min(this->own_misses + 1, max_own_misses);
+    this->local_failures =
+        std::min(this->local_failures + 1, max_local_failures);
 }
 
 void membership::impl::check_outstanding(instant now)
 {
-    const duration give_up = this->stretched(this->settings.probe_interval);
-    const duration ask = this->stretched(this->settings.ack_timeout);
+    const duration failure_timeout =
+        this->scaled_timeout(this->settings.probe_interval);
+    const duration indirect_timeout =
+        this->scaled_timeout(this->settings.ack_timeout);
     std::vector<outstanding> kept;
-    for (outstanding& item : this->waiting)
+    for (outstanding& item : this->outstanding_probes)
     {
-        if (now - item.sent >= give_up)
+        if (now - item.sent >= failure_timeout)
         {
             this->probe_failed(item.target, now);
             continue;
         }
-        if (!item.asked_others && now - item.sent >= ask)
-            this->ask_others(item);
+        if (!item.indirect_sent && now - item.sent >= indirect_timeout)
+            this->send_indirect_probes(item);
         kept.push_back(item);
     }
-    this->waiting = std::move(kept);
+    this->outstanding_probes = std::move(kept);
     std::erase_if(
-        this->relays,
-        [&](const relayed& r)
+        this->relayed_probes,
+        [&](const relayed_probe& r)
         {
             return now - r.sent >= 2 * this->settings.probe_interval;
         });
@@ -130,32 +136,32 @@
 
 void membership::impl::check_suspects(instant now)
 {
-    const duration limit = this->stretched(this->settings.suspect_after);
-    for (auto& [session, about] : this->peers)
+    const duration limit = this->scaled_timeout(this->settings.suspect_after);
+    for (auto& [session, record] : this->peers)
     {
-        if (about.state != liveness::suspect)
+        if (record.state != liveness::suspect)
             continue;
-        if (now - about.suspected >= limit)
-            this->set_state(session, about, liveness::dead);
+        if (now - record.suspected >= limit)
+            this->set_state(session, record, liveness::dead);
     }
 }
 
-void membership::impl::shuffle_round()
+void membership::impl::shuffle_probe_round()
 {
-    this->round.clear();
-    for (const auto& [session, about] : this->peers)
-        this->round.push_back(session);
-    std::ranges::shuffle(this->round, this->random);
+    this->probe_round.clear();
+    for (const auto& [session, record] : this->peers)
+        this->probe_round.push_back(session);
+    std::ranges::shuffle(this->probe_round, this->random);
 }
 
 session_id membership::impl::next_target()
 {
-    if (this->round.empty())
-        this->shuffle_round();
-    while (!this->round.empty())
+    if (this->probe_round.empty())
+        this->shuffle_probe_round();
+    while (!this->probe_round.empty())
     {
-        const session_id target = this->round.back();
-        this->round.pop_back();
+        const session_id target = this->probe_round.back();
+        this->probe_round.pop_back();
         if (this->peers.contains(target))
             return target;
     }
@@ -169,14 +175,15 @@
     if (!target)
         return;
     std::uint64_t const number = ++this->sequence;
-    const bool already = std::ranges::any_of(
-        this->waiting,
+    const bool is_pending = std::ranges::any_of(
+        this->outstanding_probes,
         [&](const outstanding& w)
         {
             return w.target == target;
         });
-    if (!already)
-        this->waiting.push_back(outstanding{number, target, now, false});
+    if (!is_pending)
+        this->outstanding_probes.push_back(
+            outstanding{number, target, now, false});
     this->send(target, probe{number, target});
 }
 
@@ -193,12 +200,13 @@
 instant membership::impl::next_tick() const
 {
     instant next = this->next_probe;
-    for (const outstanding& item : this->waiting)
+    for (const outstanding& item : this->outstanding_probes)
     {
-        if (!item.asked_others)
+        if (!item.indirect_sent)
         {
             next = std::min(
-                next, item.sent + this->stretched(this->settings.ack_timeout));
+                next,
+                item.sent + this->scaled_timeout(this->settings.ack_timeout));
         }
     }
     return next;
--- a/src/core/membership/peer_message.cpp
+++ b/src/core/membership/peer_message.cpp
@@ -106,7 +106,7 @@
         message.body = read_visit(archive);
         return;
     }
-    throw cereal::Exception("unknown kind of message");
+    throw cereal::Exception("unknown message kind");
 }
 
 template <class Archive>
@@ -130,15 +130,15 @@
     peer_message message;
     archive(version, kind, message.from.value);
     if (version != peer_message_version)
-        throw cereal::Exception("unknown version of message");
+        throw cereal::Exception("unsupported message version");
     read_body(archive, kind, message);
     archive(updates);
     if (updates > membership::max_updates)
-        throw cereal::Exception("too many updates");
+        throw cereal::Exception("more updates than a message may carry");
     for (std::uint8_t i = 0; i < updates; ++i)
         message.updates.push_back(read_update(archive));
     if (in.peek() != std::istream::traits_type::eof())
-        throw cereal::Exception("bytes after the end");
+        throw cereal::Exception("trailing bytes after the message");
     return message;
 }
 
--- a/src/core/membership/update_queue.cpp
+++ b/src/core/membership/update_queue.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-constexpr std::uint32_t rounds_per_doubling = 3;
+/// An update is sent so often per bit of the number of members.
+constexpr std::uint32_t retransmit_multiplier = 3;
 
 } // namespace
 
@@ -41,7 +42,7 @@
         taken.push_back(this->entries[i].update);
         ++this->entries[i].sent;
     }
-    const auto limit = rounds_per_doubling *
+    const auto limit = retransmit_multiplier *
                        static_cast<std::uint32_t>(std::bit_width(members + 1));
     std::erase_if(
         this->entries,
--- a/src/core/membership/update_queue.hpp
+++ b/src/core/membership/update_queue.hpp
@@ -9,21 +9,23 @@
 namespace roseworks::detail
 {
 
-/** News to be carried on datagrams, the least sent first.
+/** Updates of members to piggyback on datagrams, the least sent first.
 
     An update is dropped after it was sent `3 * log2(members + 1)` times, which
-    spreads it to all with high probability. A hint's transport.
+    reaches all members with high probability. Advisory: nothing is decided by
+    it.
 */
 class update_queue
 {
 public:
-    /// Queue news; replaces older news of the same member.
+    /// Queues an update; replaces an older update of the same member.
     void push(const member_update& update);
 
-    /** Take the updates for one datagram.
+    /** Returns the updates for one datagram.
 
-        @param members Size of the fleet; sets how often each is sent.
-        @return        At most `membership::max_updates`.
+        @param members Number of other members; sets how often an update is
+       sent.
+        @return        At most `membership::max_updates` updates.
     */
     std::vector<member_update> take(std::size_t members);
 
--- a/src/core/routing/balancer.cpp
+++ b/src/core/routing/balancer.cpp
@@ -9,16 +9,18 @@
 namespace
 {
 
-/// Affinity is given up above this multiple of the mean load, plus one.
+/// Prefix affinity is ignored for a backend whose load is above this multiple
+/// of the mean, plus one.
 constexpr double affinity_bound = 1.25;
 
-/// Servers of the own data centre are preferred up to this multiple of the mean
-/// load, plus so many requests: with one of three copies there, and 60 routers,
-/// the busiest engine had 3.1 times the mean, and 2.7 with this.
-constexpr double near_bound = 1.25;
-constexpr double near_slack = 2;
+/// Backends in this router's data centre are preferred up to this multiple of
+/// the mean load, plus `near_slack` requests. With one of three replicas in the
+/// data centre and 60 routers, this lowers the load of the busiest engine from
+/// 3.1 to 2.7 times the mean.
+constexpr double local_load_bound = 1.25;
+constexpr double local_load_slack = 2;
 
-std::uint64_t mixed(std::uint64_t value)
+std::uint64_t mix_bits(std::uint64_t value)
 {
     value += 0x9E3779B97F4A7C15ULL;
     value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -26,15 +28,17 @@
     return value ^ (value >> 31);
 }
 
-std::uint64_t rendezvous(std::uint64_t prefix, const backend& one)
+std::uint64_t rendezvous_weight(std::uint64_t prefix, const backend& one)
 {
-    // Mixed one by one: engines' and replicas' numbers are small and alike.
-    const std::uint64_t place =
-        mixed(mixed(one.server) ^ one.where.replica.value);
-    return mixed(mixed(prefix) ^ place);
+    // Each id is mixed separately: ids of engines and replicas are small and
+    // similar numbers, whose plain combination would hash alike.
+    const std::uint64_t location =
+        mix_bits(mix_bits(one.server) ^ one.where.replica.value);
+    return mix_bits(mix_bits(prefix) ^ location);
 }
 
-/// Whether each server of some is loaded well above the mean of all.
+/// @return Whether the load of each backend in `some` is well above the mean
+///         load of the backends in `among`.
 bool above_mean(
     std::span<const backend> all,
     std::span<std::size_t const> some,
@@ -50,7 +54,8 @@
     for (const std::size_t i : among)
         sum += load_of(i);
     const double limit =
-        near_bound * sum / static_cast<double>(among.size()) + near_slack;
+        local_load_bound * sum / static_cast<double>(among.size()) +
+        local_load_slack;
     return std::ranges::all_of(
         some,
         [&](std::size_t i)
@@ -64,8 +69,8 @@
     return std::find(tried.begin(), tried.end(), one.server) != tried.end();
 }
 
-/// @return Requests that may start there now.
-std::uint32_t free_on(
+/// @return The number of requests that may be sent to the backend now.
+std::uint32_t free_slots_on(
     const backend& one,
     std::uint16_t max_streams,
     const server_loads& loads,
@@ -79,7 +84,7 @@
     const std::uint32_t limit = loads.limit(one.server, streams, now);
     const std::uint32_t free =
         limit > one.in_flight ? limit - one.in_flight : 0;
-    // A limited server takes one request a permit.
+    // Each request to a server with a rate limit needs a permit of its own.
     return loads.is_limited(one.server) ? std::min(free, 1U) : free;
 }
 
@@ -94,34 +99,37 @@
 std::vector<std::size_t>
 balancer::usable(std::span<const backend> all, instant now)
 {
-    std::vector<std::size_t> good;
-    std::vector<std::size_t> bad;
+    std::vector<std::size_t> healthy;
+    std::vector<std::size_t> left_out;
     for (std::size_t i = 0; i < all.size(); ++i)
     {
         if (!all[i].listed || all[i].leaving)
         {
             continue;
         }
-        (all[i].health.ejected(now) ? bad : good).push_back(i);
+        (all[i].health.ejected(now) ? left_out : healthy).push_back(i);
     }
 
-    const std::size_t allowance = ejection_allowance(good.size() + bad.size());
-    if (bad.size() > allowance)
+    const std::size_t allowance =
+        ejection_allowance(healthy.size() + left_out.size());
+    if (left_out.size() > allowance)
     {
-        // Those whose ejection ends first are let back.
+        // Readmit those whose ejection ends first.
         std::stable_sort(
-            bad.begin(),
-            bad.end(),
+            left_out.begin(),
+            left_out.end(),
             [all](std::size_t left, std::size_t right)
             {
                 return all[left].health.ejected_until() <
                        all[right].health.ejected_until();
             });
-        const auto back = static_cast<std::ptrdiff_t>(bad.size() - allowance);
-        good.insert(good.end(), bad.begin(), bad.begin() + back);
-        std::sort(good.begin(), good.end());
+        const auto readmitted =
+            static_cast<std::ptrdiff_t>(left_out.size() - allowance);
+        healthy.insert(
+            healthy.end(), left_out.begin(), left_out.begin() + readmitted);
+        std::sort(healthy.begin(), healthy.end());
     }
-    return good;
+    return healthy;
 }
 
 bool balancer::has_slot(
@@ -130,7 +138,7 @@
     const server_loads& loads,
     instant now)
 {
-    return free_on(one, max_streams, loads, now) > 0;
+    return free_slots_on(one, max_streams, loads, now) > 0;
 }
 
 free_slots balancer::slots(
@@ -140,17 +148,17 @@
     const server_loads& loads,
     instant now)
 {
-    const std::uint32_t kept = kept_for_better(max_streams);
+    const std::uint32_t reserved_slots = kept_for_better(max_streams);
     std::uint32_t total = 0;
     for (const std::size_t i : among)
     {
-        total += free_on(all[i], max_streams, loads, now);
-        if (total > kept)
+        total += free_slots_on(all[i], max_streams, loads, now);
+        if (total > reserved_slots)
         {
             break;
         }
     }
-    return {total > 0, total > kept};
+    return {total > 0, total > reserved_slots};
 }
 
 std::optional<std::size_t> balancer::choose(
@@ -176,7 +184,7 @@
     if (query.prefix != 0)
     {
         if (const auto near =
-                this->by_prefix(all, candidates, query, loads, now))
+                this->choose_by_prefix(all, candidates, query, loads, now))
         {
             return near;
         }
@@ -188,18 +196,19 @@
         {
             return !has_slot(all[i], query.max_streams, loads, now);
         });
-    // A permit at hand was asked for one of these requests, and counts.
-    const auto permitted = std::ranges::find_if(
+    // A valid permit was requested for one of the waiting requests and is used
+    // first: it counts against the server's limit, used or not.
+    const auto with_permit = std::ranges::find_if(
         candidates,
         [&](std::size_t i)
         {
             return loads.is_limited(all[i].server);
         });
-    if (permitted != candidates.end())
+    if (with_permit != candidates.end())
     {
-        return *permitted;
+        return *with_permit;
     }
-    const std::vector<std::size_t> own = this->prefer_own(all, candidates);
+    const std::vector<std::size_t> own = this->prefer_local(all, candidates);
     const std::vector<std::size_t>& best =
         above_mean(all, own, candidates, loads, now) ? candidates : own;
     if (best.empty())
@@ -211,15 +220,15 @@
         return best.front();
     }
 
-    const std::size_t first = this->draw(best.size());
-    std::size_t second = this->draw(best.size() - 1);
+    const std::size_t first = this->random_index(best.size());
+    std::size_t second = this->random_index(best.size() - 1);
     second += second >= first ? 1 : 0;
     const std::uint32_t first_load = loads.load(all[best[first]].server, now);
     const std::uint32_t second_load = loads.load(all[best[second]].server, now);
     return best[second_load < first_load ? second : first];
 }
 
-std::vector<std::size_t> balancer::prefer_own(
+std::vector<std::size_t> balancer::prefer_local(
     std::span<const backend> all, std::span<std::size_t const> among) const
 {
     std::vector<std::size_t> own;
@@ -234,14 +243,14 @@
                        : own;
 }
 
-std::optional<std::size_t> balancer::by_prefix(
+std::optional<std::size_t> balancer::choose_by_prefix(
     std::span<const backend> all,
     std::span<std::size_t const> among,
     const choice_query& query,
     const server_loads& loads,
     instant now) const
 {
-    const std::vector<std::size_t> near = this->prefer_own(all, among);
+    const std::vector<std::size_t> near = this->prefer_local(all, among);
     if (near.empty())
     {
         return std::nullopt;
@@ -253,53 +262,54 @@
         sum += loads.load(all[i].server, now);
     }
     const double mean = sum / static_cast<double>(near.size());
-    const auto fits = [&](std::size_t i)
+    const auto accepts = [&](std::size_t i)
     {
         return loads.load(all[i].server, now) <= affinity_bound * mean + 1 &&
                has_slot(all[i], query.max_streams, loads, now);
     };
-    const auto closer = [&](std::size_t left, std::size_t right)
+    const auto ranks_higher = [&](std::size_t left, std::size_t right)
     {
-        return rendezvous(query.prefix, all[left]) >
-               rendezvous(query.prefix, all[right]);
+        return rendezvous_weight(query.prefix, all[left]) >
+               rendezvous_weight(query.prefix, all[right]);
     };
 
-    const auto better = [&](std::size_t left, std::size_t right)
+    const auto is_preferred = [&](std::size_t left, std::size_t right)
     {
         const std::uint32_t left_load = loads.load(all[left].server, now);
         const std::uint32_t right_load = loads.load(all[right].server, now);
         return left_load < right_load ||
-               (left_load == right_load && closer(left, right));
+               (left_load == right_load && ranks_higher(left, right));
     };
 
-    // What is stale counts only where the hash gives no answer.
+    // Stale information is used only if the backend by hash is overloaded.
     std::optional<std::size_t> fresh;
     std::optional<std::size_t> stale;
-    std::size_t home = near.front();
+    std::size_t hash_owner = near.front();
     for (const std::size_t i : near)
     {
-        home = closer(i, home) ? i : home;
+        hash_owner = ranks_higher(i, hash_owner) ? i : hash_owner;
         const auto known =
             query.cached == nullptr
                 ? prefix_map::knowledge::none
                 : query.cached->find(all[i].server, query.prefix, now);
-        if (known == prefix_map::knowledge::none || !fits(i))
+        if (known == prefix_map::knowledge::none || !accepts(i))
         {
             continue;
         }
         auto& best = known == prefix_map::knowledge::fresh ? fresh : stale;
-        best = best && !better(i, *best) ? best : i;
+        best = best && !is_preferred(i, *best) ? best : i;
     }
     if (fresh)
     {
         return fresh;
     }
-    return fits(home) ? std::optional(home) : stale;
+    return accepts(hash_owner) ? std::optional(hash_owner) : stale;
 }
 
-std::size_t balancer::draw(std::size_t count)
+std::size_t balancer::random_index(std::size_t count)
 {
-    // The high half of a product: no division, and the same on each platform.
+    // Scales by multiplication instead of std::uniform_int_distribution: it
+    // needs no division and gives the same result on every platform.
     const std::uint64_t high = this->random() >> 32;
     return static_cast<std::size_t>((high * count) >> 32);
 }
--- a/src/core/routing/ejection.cpp
+++ b/src/core/routing/ejection.cpp
@@ -14,7 +14,7 @@
 
 void server_health::succeeded(instant now)
 {
-    this->consecutive = 0;
+    this->consecutive_failures = 0;
     this->failure_rate -= rate_smoothing * this->failure_rate;
     ++this->samples;
     if (this->ejections != 0 && !this->ejected(now))
@@ -25,14 +25,15 @@
 
 void server_health::failed(instant now)
 {
-    ++this->consecutive;
+    ++this->consecutive_failures;
     ++this->samples;
     this->failure_rate += rate_smoothing * (1 - this->failure_rate);
 
-    const bool in_a_row = this->consecutive >= consecutive_limit;
-    const bool mostly =
+    const bool too_many_in_row =
+        this->consecutive_failures >= consecutive_limit;
+    const bool rate_exceeded =
         this->samples >= rate_samples && this->failure_rate > rate_limit;
-    if (!this->ejected(now) && (in_a_row || mostly))
+    if (!this->ejected(now) && (too_many_in_row || rate_exceeded))
     {
         this->eject(now);
     }
@@ -45,11 +46,12 @@
     {
         length = std::min(longest_ejection, length * 2);
     }
-    this->until = now + length;
+    this->ejection_end = now + length;
     ++this->ejections;
 
-    // One more failure after its return ejects it again; its rate starts anew.
-    this->consecutive = consecutive_limit - 1;
+    // After the ejection, a single failure ejects the server again. The failure
+    // rate is measured from zero.
+    this->consecutive_failures = consecutive_limit - 1;
     this->samples = 0;
     this->failure_rate = 0;
 }
--- a/src/core/routing/ejection.hpp
+++ b/src/core/routing/ejection.hpp
@@ -8,11 +8,12 @@
 namespace roseworks::detail
 {
 
-/** How one backend server did lately, and whether it is ejected.
+/** Tracks recent failures of one backend server and ejects it.
 
-    Ejected after consecutive failures, or when most of its recent attempts
-    failed; each time for twice as long, up to a limit. A success after an
-    ejection halves the next one. Hint.
+    A server is ejected after `consecutive_limit` failures in a row, or when the
+    moving average of its failure rate exceeds `rate_limit`. Each ejection lasts
+    twice as long as the one before, up to `longest_ejection`. A success after
+    an ejection halves the next one. Advisory: nothing is decided by it.
 */
 class server_health
 {
@@ -26,30 +27,30 @@
     void succeeded(instant now);
     void failed(instant now);
 
-    /// @return Whether it would be left out, the floor aside.
+    /// @return Whether it is ejected. `ejection_allowance` limits how many of
+    ///         the ejected servers are left out.
     bool ejected(instant now) const
     {
-        return now < this->until;
+        return now < this->ejection_end;
     }
 
-    /// @return When its ejection ends.
     instant ejected_until() const
     {
-        return this->until;
+        return this->ejection_end;
     }
 
 private:
     void eject(instant now);
 
-    std::uint32_t consecutive = 0;
+    std::uint32_t consecutive_failures = 0;
     std::uint32_t samples = 0;
     double failure_rate = 0;
     std::uint32_t ejections = 0;
-    instant until = instant::min();
+    instant ejection_end = instant::min();
 };
 
-/// @return How many of so many ready replicas may be ejected at a time: half,
-///         rounded down, so that a model never loses its last.
+/// @return How many of `ready` replicas may be ejected at a time: half of them,
+///         rounded down, so that a model keeps at least one.
 constexpr std::size_t ejection_allowance(std::size_t ready)
 {
     return ready / 2;
--- a/src/core/routing/name_index.cpp
+++ b/src/core/routing/name_index.cpp
@@ -32,16 +32,18 @@
 name_index::find(std::string_view name, const servable_tree& entries) const
 {
     const std::uint64_t hash = hash_of(name);
-    const auto& part = this->all->shards[hash % shard_count];
-    if (!part)
+    const auto& bucket = this->all->shards[hash % shard_count];
+    if (!bucket)
     {
         return nullptr;
     }
     const slot wanted{high_half(hash), servable_id{}};
-    auto at = std::lower_bound(part->slots.begin(), part->slots.end(), wanted);
-    for (; at != part->slots.end() && at->hash == wanted.hash; ++at)
+    auto position =
+        std::lower_bound(bucket->slots.begin(), bucket->slots.end(), wanted);
+    for (; position != bucket->slots.end() && position->hash == wanted.hash;
+         ++position)
     {
-        const servable_routes* entry = entries.find(at->id);
+        const servable_routes* entry = entries.find(position->id);
         if (entry != nullptr && entry->name == name)
         {
             return entry;
@@ -53,38 +55,38 @@
 void name_index::insert(std::string_view name, servable_id id, edition current)
 {
     const std::uint64_t hash = hash_of(name);
-    shard& part = this->edit(hash % shard_count, current);
+    shard& bucket = this->edit(hash % shard_count, current);
     const slot added{high_half(hash), id};
-    const auto at =
-        std::lower_bound(part.slots.begin(), part.slots.end(), added);
-    if (at == part.slots.end() || *at != added)
+    const auto position =
+        std::lower_bound(bucket.slots.begin(), bucket.slots.end(), added);
+    if (position == bucket.slots.end() || *position != added)
     {
-        part.slots.insert(at, added);
+        bucket.slots.insert(position, added);
     }
 }
 
 void name_index::erase(std::string_view name, servable_id id, edition current)
 {
     const std::uint64_t hash = hash_of(name);
-    shard& part = this->edit(hash % shard_count, current);
-    std::erase(part.slots, slot{high_half(hash), id});
+    shard& bucket = this->edit(hash % shard_count, current);
+    std::erase(bucket.slots, slot{high_half(hash), id});
 }
 
 name_index::shard& name_index::edit(std::size_t index, edition current)
 {
-    if (this->all->made != current)
+    if (this->all->version != current)
     {
         this->all = std::make_shared<directory>(*this->all);
-        this->all->made = current;
+        this->all->version = current;
     }
-    auto& part = this->all->shards[index];
-    if (!part || part->made != current)
+    auto& bucket = this->all->shards[index];
+    if (!bucket || bucket->version != current)
     {
-        part =
-            part ? std::make_shared<shard>(*part) : std::make_shared<shard>();
-        part->made = current;
+        bucket = bucket ? std::make_shared<shard>(*bucket)
+                        : std::make_shared<shard>();
+        bucket->version = current;
     }
-    return *part;
+    return *bucket;
 }
 
 } // namespace roseworks::detail
--- a/src/core/routing/name_index.hpp
+++ b/src/core/routing/name_index.hpp
@@ -10,17 +10,19 @@
 namespace roseworks::detail
 {
 
-/** Ids of models and adapters by name, in 256 shards copied on write.
+/** Maps names of models and adapters to their ids: 256 copy-on-write shards.
 
-    Holds no names: eight bytes an entry, the names are the entries' own.
-    Changes only when an entry comes or goes. Hint.
+    Stores a 32-bit hash and an id for each name, eight bytes in all. The name
+    itself is compared in the entry that the id refers to. Changes only when an
+    entry is added, renamed or removed. Advisory: nothing is decided by it.
 */
 class name_index
 {
 public:
     name_index();
 
-    /// @param entries Where the names are.
+    /// @param entries The entries that hold the names.
+    /// @return        Null when no entry has the name.
     const servable_routes*
     find(std::string_view name, const servable_tree& entries) const;
 
@@ -46,13 +48,13 @@
 
     struct shard
     {
-        edition made = 0;
+        edition version = 0;
         std::vector<slot> slots; ///< sorted
     };
 
     struct directory
     {
-        edition made = 0;
+        edition version = 0;
         std::array<std::shared_ptr<shard>, shard_count> shards;
     };
 
--- a/src/core/routing/prefix_map.cpp
+++ b/src/core/routing/prefix_map.cpp
@@ -3,36 +3,36 @@
 namespace roseworks::detail
 {
 
-prefix_map::prefix_map(const options& wanted)
-    : limits(wanted)
+prefix_map::prefix_map(const options& settings)
+    : limits(settings)
 {
 }
 
 void prefix_map::reported(const cache_report& report, instant now)
 {
-    this->forget_silent(now);
-    engine_prefixes& known = this->engines[key_of(report.engine)];
-    const bool anew = report.from == 0 ||
-                      report.incarnation != known.incarnation ||
-                      report.next < known.next;
-    if (anew)
+    this->evict_silent(now);
+    engine_prefixes& tracked = this->engines[key_of(report.engine)];
+    const bool restarted = report.from == 0 ||
+                           report.incarnation != tracked.incarnation ||
+                           report.next < tracked.next;
+    if (restarted)
     {
-        this->clear(known);
-        known.next = 0;
-        known.incarnation = report.incarnation;
+        this->clear(tracked);
+        tracked.next = 0;
+        tracked.incarnation = report.incarnation;
     }
 
     for (const cache_event& event : report.events)
     {
-        this->apply(known, event);
+        this->apply(tracked, event);
     }
-    if (report.next > known.next)
+    if (report.next > tracked.next)
     {
-        // The last events before `next` are missing.
-        known.gaps += known.next != 0 ? 1 : 0;
-        known.next = report.next;
+        // The last events before `next` were lost.
+        tracked.gaps += tracked.next != 0 ? 1 : 0;
+        tracked.next = report.next;
     }
-    known.last_report = now;
+    tracked.last_report = now;
 }
 
 prefix_map::knowledge
@@ -43,14 +43,14 @@
     {
         return knowledge::none;
     }
-    const engine_prefixes& known = found->second;
-    const auto place = known.places.find(prefix);
-    if (place == known.places.end())
+    const engine_prefixes& tracked = found->second;
+    const auto position = tracked.positions.find(prefix);
+    if (position == tracked.positions.end())
     {
         return knowledge::none;
     }
-    const bool fresh = place->second->gaps == known.gaps &&
-                       now - known.last_report <= this->limits.silence;
+    const bool fresh = position->second->gaps == tracked.gaps &&
+                       now - tracked.last_report <= this->limits.silence;
     return fresh ? knowledge::fresh : knowledge::stale;
 }
 
@@ -59,86 +59,86 @@
     return this->total;
 }
 
-void prefix_map::apply(engine_prefixes& known, const cache_event& event)
+void prefix_map::apply(engine_prefixes& tracked, const cache_event& event)
 {
-    if (event.sequence < known.next)
+    if (event.sequence < tracked.next)
     {
-        return; // seen before
+        return; // already applied
     }
-    if (known.next != 0 && event.sequence != known.next)
+    if (tracked.next != 0 && event.sequence != tracked.next)
     {
-        ++known.gaps;
+        ++tracked.gaps;
     }
-    known.next = event.sequence + 1;
+    tracked.next = event.sequence + 1;
     if (event.cached)
     {
-        this->add(known, event.prefix);
+        this->add(tracked, event.prefix);
     }
     else
     {
-        this->remove(known, event.prefix);
+        this->remove(tracked, event.prefix);
     }
 }
 
-void prefix_map::add(engine_prefixes& known, std::uint64_t prefix)
+void prefix_map::add(engine_prefixes& tracked, std::uint64_t prefix)
 {
-    const auto place = known.places.find(prefix);
-    if (place != known.places.end())
+    const auto position = tracked.positions.find(prefix);
+    if (position != tracked.positions.end())
     {
-        known.by_age.splice(known.by_age.begin(), known.by_age, place->second);
-        place->second->gaps = known.gaps;
+        tracked.lru.splice(tracked.lru.begin(), tracked.lru, position->second);
+        position->second->gaps = tracked.gaps;
         return;
     }
-    if (known.by_age.size() >= this->limits.max_per_engine ||
+    if (tracked.lru.size() >= this->limits.max_per_engine ||
         this->total >= this->limits.max_prefixes)
     {
-        if (known.by_age.empty())
+        if (tracked.lru.empty())
         {
             return;
         }
-        this->remove(known, known.by_age.back().prefix);
+        this->remove(tracked, tracked.lru.back().prefix);
     }
-    known.by_age.push_front({prefix, known.gaps});
-    known.places.emplace(prefix, known.by_age.begin());
+    tracked.lru.push_front({prefix, tracked.gaps});
+    tracked.positions.emplace(prefix, tracked.lru.begin());
     ++this->total;
 }
 
-void prefix_map::remove(engine_prefixes& known, std::uint64_t prefix)
+void prefix_map::remove(engine_prefixes& tracked, std::uint64_t prefix)
 {
-    const auto place = known.places.find(prefix);
-    if (place == known.places.end())
+    const auto position = tracked.positions.find(prefix);
+    if (position == tracked.positions.end())
     {
         return;
     }
-    known.by_age.erase(place->second);
-    known.places.erase(place);
+    tracked.lru.erase(position->second);
+    tracked.positions.erase(position);
     --this->total;
 }
 
-void prefix_map::clear(engine_prefixes& known)
+void prefix_map::clear(engine_prefixes& tracked)
 {
-    this->total -= known.by_age.size();
-    known.by_age.clear();
-    known.places.clear();
+    this->total -= tracked.lru.size();
+    tracked.lru.clear();
+    tracked.positions.clear();
 }
 
-void prefix_map::forget_silent(instant now)
+void prefix_map::evict_silent(instant now)
 {
     if (now < this->next_sweep)
     {
         return;
     }
     this->next_sweep = now + this->limits.silence;
-    for (auto at = this->engines.begin(); at != this->engines.end();)
+    for (auto it = this->engines.begin(); it != this->engines.end();)
     {
-        engine_prefixes& known = at->second;
-        if (now - known.last_report <= this->limits.forget_after)
+        engine_prefixes& tracked = it->second;
+        if (now - tracked.last_report <= this->limits.forget_after)
         {
-            ++at;
+            ++it;
             continue;
         }
-        this->clear(known);
-        at = this->engines.erase(at);
+        this->clear(tracked);
+        it = this->engines.erase(it);
     }
 }
 
--- a/src/core/routing/prefix_map.hpp
+++ b/src/core/routing/prefix_map.hpp
@@ -13,16 +13,19 @@
 namespace roseworks::detail
 {
 
-/** Which engine holds which prompt prefix, by the engines' cache events.
-
-    Events come late and some are lost. A gap in an engine's numbers makes all
-    that was known of this engine stale; a prefix is resynchronised by the next
-    event that names it. What is known of an engine that was silent too long is
-    stale until it reports again, without a gap. A restart, or a read that
-    starts anew, voids what was known.
-
-    Bounded: the prefixes reported least recently go first, of an engine and,
-    when all engines together hold too many, of the engine that reports. Hint.
+/** Tracks which engine caches which prompt prefix, from the engines' cache
+    events.
+
+    Events arrive late and some are lost. A gap in an engine's sequence numbers
+    marks all prefixes of this engine as stale; the next event that names a
+    prefix makes it fresh again. The prefixes of an engine that sent no report
+    for `silence` are stale until its next report without a gap. All prefixes of
+    an engine are discarded when it restarts or its events are read from the
+    start.
+
+    The size is bounded: the least recently reported prefixes are evicted first.
+    When the limit for all engines is reached, a prefix of the reporting engine
+    is evicted. Advisory: nothing is decided by it.
 */
 class prefix_map
 {
@@ -30,7 +33,7 @@
     enum class knowledge : std::uint8_t
     {
         none,
-        stale, ///< held before events were missed
+        stale, ///< was cached before events were missed
         fresh
     };
 
@@ -38,44 +41,47 @@
     {
         std::size_t max_per_engine = 1024;  ///< prefixes
         std::size_t max_prefixes = 131'072; ///< of all engines together
+        /// The prefixes of an engine become stale so long after its last
+        /// report.
         duration silence = std::chrono::seconds(30);
-        duration forget_after = std::chrono::minutes(2); ///< silent engines
+        /// An engine is removed so long after its last report.
+        duration forget_after = std::chrono::minutes(2);
     };
 
     prefix_map() = default;
-    explicit prefix_map(const options& wanted);
+    explicit prefix_map(const options& settings);
 
     void reported(const cache_report& report, instant now);
 
-    /// @return What is known of the prefix' being held there.
+    /// @return Whether the server caches the prefix, as far as is known.
     knowledge find(server_key server, std::uint64_t prefix, instant now) const;
 
-    /// @return Prefixes known, of all engines.
+    /// @return The number of tracked prefixes of all engines.
     std::size_t size() const;
 
 private:
     struct entry
     {
         std::uint64_t prefix = 0;
-        std::uint64_t gaps = 0; ///< of the engine, when it was reported
+        std::uint64_t gaps = 0; ///< gaps of the engine at the last report
     };
-    using ages = std::list<entry>; ///< most recently reported first
+    using lru_list = std::list<entry>; ///< most recently reported first
 
     struct engine_prefixes
     {
         std::uint64_t incarnation = 0;
-        std::uint64_t next = 0; ///< number of the next event; 0: any
-        std::uint64_t gaps = 0; ///< so far
+        std::uint64_t next = 0; ///< sequence number of the next event; 0: any
+        std::uint64_t gaps = 0; ///< gaps in the sequence numbers so far
         instant last_report;
-        ages by_age;
-        std::unordered_map<std::uint64_t, ages::iterator> places;
+        lru_list lru;
+        std::unordered_map<std::uint64_t, lru_list::iterator> positions;
     };
 
-    void apply(engine_prefixes& known, const cache_event& event);
-    void add(engine_prefixes& known, std::uint64_t prefix);
-    void remove(engine_prefixes& known, std::uint64_t prefix);
-    void clear(engine_prefixes& known);
-    void forget_silent(instant now);
+    void apply(engine_prefixes& tracked, const cache_event& event);
+    void add(engine_prefixes& tracked, std::uint64_t prefix);
+    void remove(engine_prefixes& tracked, std::uint64_t prefix);
+    void clear(engine_prefixes& tracked);
+    void evict_silent(instant now);
 
     options limits;
     std::unordered_map<server_key, engine_prefixes> engines;
--- a/src/core/routing/routing_table_builder.cpp
+++ b/src/core/routing/routing_table_builder.cpp
@@ -17,9 +17,9 @@
 namespace
 {
 
-/// Blocks and suspicions that may lapse are looked at again this often, by
-/// the log's own time.
-constexpr stamp_ms lapse_interval_ms = 1000;
+/// Blocked and suspect requests are checked for expiry this often, in the time
+/// of the log.
+constexpr stamp_ms expiry_check_interval_ms = 1000;
 
 route route_of(replica_id replica, const engine_view& engine)
 {
@@ -41,10 +41,10 @@
     void
     set_grants(const fleet_state& state, std::span<const grant_hint> hints);
 
-    detail::sharded_table edited;
+    detail::sharded_table table_draft;
 
 private:
-    struct placed
+    struct placement
     {
         servable_id servable;
         engine_id engine;
@@ -59,21 +59,22 @@
     void put_caller(const fleet_state& state, caller_id id);
     void put_engine(const fleet_state& state, engine_id id);
     void put_adapters_of(const fleet_state& state, servable_id base);
-    void moved(const fleet_state& state, const state_change& change);
-    void look_at(const fleet_state& state, fingerprint request);
-    void look_for_lapses(const fleet_state& state);
+    void apply_move(const fleet_state& state, const state_change& change);
+    void refresh_request(const fleet_state& state, fingerprint request);
+    void check_expiry(const fleet_state& state);
 
-    /// Replicas that aren't gone: a gone one has no view any more.
-    std::unordered_map<replica_id, placed> replicas;
+    /// Replicas that are not gone. The state has no view of a gone replica, so
+    /// its servable is looked up here.
+    std::unordered_map<replica_id, placement> replicas;
     std::unordered_map<caller_id, std::string> callers;
     std::map<servable_id, grant_hint> grants;
-    stamp_ms last_lapse_check = 0;
+    stamp_ms last_expiry_check = 0;
 };
 
 void routing_table_builder::impl::rebuild(const fleet_state& state)
 {
-    this->edited.clear();
-    this->edited.keep_names(state.names_owner());
+    this->table_draft.clear();
+    this->table_draft.retain_names(state.names_owner());
     this->replicas.clear();
     this->callers.clear();
 
@@ -100,7 +101,7 @@
     state.for_each_suspect(
         [this, &state](fingerprint request)
         {
-            this->look_at(state, request);
+            this->refresh_request(state, request);
         });
 }
 
@@ -110,7 +111,7 @@
     {
         this->apply(state, change);
     }
-    this->look_for_lapses(state);
+    this->check_expiry(state);
 }
 
 void routing_table_builder::impl::apply(
@@ -126,12 +127,12 @@
         this->entity_removed(change);
         break;
     case kind::replica_moved:
-        this->moved(state, change);
+        this->apply_move(state, change);
         break;
     case kind::request_suspected:
     case kind::request_blocked:
     case kind::request_unblocked:
-        this->look_at(state, change.request);
+        this->refresh_request(state, change.request);
         break;
     default:
         break;
@@ -146,10 +147,10 @@
     {
     case entity_kind::model:
     {
-        const servable_routes* before = this->edited.find(servable_id(id));
+        const servable_routes* before = this->table_draft.find(servable_id(id));
         const std::uint16_t streams = before ? before->max_streams : 0;
         this->put_servable(state, servable_id(id));
-        const servable_routes* after = this->edited.find(servable_id(id));
+        const servable_routes* after = this->table_draft.find(servable_id(id));
         if (before != nullptr && after != nullptr &&
             after->max_streams != streams)
         {
@@ -181,20 +182,20 @@
     {
     case entity_kind::model:
     case entity_kind::adapter:
-        this->edited.erase(servable_id(id));
+        this->table_draft.erase(servable_id(id));
         break;
     case entity_kind::service:
-        this->edited.erase_service(service_id(id));
+        this->table_draft.erase_service(service_id(id));
         break;
     case entity_kind::caller:
         if (const auto found = this->callers.find(caller_id(id));
             found != this->callers.end())
         {
-            this->edited.erase_caller(found->second);
+            this->table_draft.erase_caller(found->second);
             this->callers.erase(found);
         }
         break;
-    case entity_kind::engine: // only removed when it holds no replica
+    case entity_kind::engine: // only removed when no replica is left on it
     case entity_kind::policy:
         break;
     }
@@ -206,12 +207,12 @@
     const auto view = state.servable(id);
     if (!view)
     {
-        this->edited.erase(id);
+        this->table_draft.erase(id);
         return;
     }
     servable_routes entry;
     entry.id = id;
-    entry.name = this->edited.keeps(state.names_owner())
+    entry.name = this->table_draft.retains(state.names_owner())
                      ? servable_name::borrow(view->name)
                      : servable_name(view->name);
     entry.is_adapter = view->is_adapter;
@@ -238,10 +239,11 @@
         {
             return left.replica < right.replica;
         });
-    this->edited.put(std::move(entry));
+    this->table_draft.put(std::move(entry));
 }
 
-/// No record says yet that a granted model is loaded: its engine does.
+/// Adds the replica of a granted model that its engine reports as loaded,
+/// before the log has a record of it.
 void routing_table_builder::impl::add_granted(
     const fleet_state& state, servable_routes& entry) const
 {
@@ -276,20 +278,21 @@
     {
         this->grants[hint.servable] = hint;
     }
-    std::set<servable_id> touched;
+    std::set<servable_id> affected;
     for (const auto* side : {&before, &this->grants})
     {
         for (const auto& [id, hint] : *side)
         {
-            touched.insert(id);
+            affected.insert(id);
         }
     }
-    for (const servable_id id : touched)
+    for (const servable_id id : affected)
     {
-        const auto was = before.find(id);
-        const auto is = this->grants.find(id);
-        const bool same = was != before.end() && is != this->grants.end() &&
-                          was->second == is->second;
+        const auto old_hint = before.find(id);
+        const auto new_hint = this->grants.find(id);
+        const bool same = old_hint != before.end() &&
+                          new_hint != this->grants.end() &&
+                          old_hint->second == new_hint->second;
         if (!same)
         {
             this->put_servable(state, id);
@@ -303,7 +306,7 @@
     const service_spec* spec = state.service(id);
     if (spec == nullptr)
     {
-        this->edited.erase_service(id);
+        this->table_draft.erase_service(id);
         return;
     }
     service_routes entry;
@@ -312,7 +315,7 @@
     entry.repeatable = spec->repeatable;
     entry.max_streams = spec->max_streams;
     entry.backends = spec->backends;
-    this->edited.put(std::move(entry));
+    this->table_draft.put(std::move(entry));
 }
 
 void routing_table_builder::impl::put_caller(
@@ -322,21 +325,21 @@
     if (spec != nullptr)
     {
         this->callers[id] = state.caller_name(id);
-        this->edited.put_caller(state.caller_name(id), *spec);
+        this->table_draft.put_caller(state.caller_name(id), *spec);
     }
 }
 
 void routing_table_builder::impl::put_engine(
     const fleet_state& state, engine_id id)
 {
-    std::set<servable_id> touched;
+    std::set<servable_id> affected;
     state.for_each_replica_on(
         id,
-        [&touched](const replica_view& one)
+        [&affected](const replica_view& one)
         {
-            touched.insert(one.servable);
+            affected.insert(one.servable);
         });
-    for (const servable_id one : touched)
+    for (const servable_id one : affected)
     {
         this->put_servable(state, one);
     }
@@ -360,7 +363,7 @@
     }
 }
 
-void routing_table_builder::impl::moved(
+void routing_table_builder::impl::apply_move(
     const fleet_state& state, const state_change& change)
 {
     if (const auto view = state.replica(change.replica))
@@ -384,29 +387,29 @@
     }
 }
 
-void routing_table_builder::impl::look_at(
+void routing_table_builder::impl::refresh_request(
     const fleet_state& state, fingerprint request)
 {
     const bool blocked = state.blocked(request);
-    this->edited.set_blocked(request, blocked);
-    this->edited.set_suspect(
+    this->table_draft.set_blocked(request, blocked);
+    this->table_draft.set_suspect(
         request, !blocked && state.suspicion(request) != 0);
 }
 
-void routing_table_builder::impl::look_for_lapses(const fleet_state& state)
+void routing_table_builder::impl::check_expiry(const fleet_state& state)
 {
     const stamp_ms now = state.log_time();
-    if (now - this->last_lapse_check < lapse_interval_ms)
+    if (now - this->last_expiry_check < expiry_check_interval_ms)
     {
         return;
     }
-    this->last_lapse_check = now;
-    std::vector<fingerprint> seen = this->edited.blocked();
-    const auto& suspects = this->edited.suspects();
+    this->last_expiry_check = now;
+    std::vector<fingerprint> seen = this->table_draft.blocked();
+    const auto& suspects = this->table_draft.suspects();
     seen.insert(seen.end(), suspects.begin(), suspects.end());
     for (const fingerprint request : seen)
     {
-        this->look_at(state, request);
+        this->refresh_request(state, request);
     }
 }
 
@@ -439,12 +442,12 @@
 
 void routing_table_builder::set_log_available(bool available)
 {
-    this->self->edited.set_log_available(available);
+    this->self->table_draft.set_log_available(available);
 }
 
 routing_table_ptr routing_table_builder::table()
 {
-    return this->self->edited.publish();
+    return this->self->table_draft.publish();
 }
 
 } // namespace roseworks
--- a/src/core/routing/servable_tree.cpp
+++ b/src/core/routing/servable_tree.cpp
@@ -9,21 +9,22 @@
 constexpr std::size_t node_span =
     servable_tree::fan_out * servable_tree::fan_out;
 
-/// @return The part itself when this edition made it, else a copy of it.
-template <class Part>
-Part& own(std::shared_ptr<Part>& part, edition current)
+/// Replaces the node by a copy unless it has the current version.
+/// @return The node to modify.
+template <class Node>
+Node& make_writable(std::shared_ptr<Node>& node_ptr, edition current)
 {
-    if (!part)
+    if (!node_ptr)
     {
-        part = std::make_shared<Part>();
-        part->made = current;
+        node_ptr = std::make_shared<Node>();
+        node_ptr->version = current;
     }
-    else if (part->made != current)
+    else if (node_ptr->version != current)
     {
-        part = std::make_shared<Part>(*part);
-        part->made = current;
+        node_ptr = std::make_shared<Node>(*node_ptr);
+        node_ptr->version = current;
     }
-    return *part;
+    return *node_ptr;
 }
 
 } // namespace
@@ -36,12 +37,12 @@
         return nullptr;
     }
     const node& branch = *this->root[at / node_span];
-    const auto& leaf_of = branch.leaves[at / fan_out % fan_out];
-    if (!leaf_of)
+    const auto& child = branch.leaves[at / fan_out % fan_out];
+    if (!child)
     {
         return nullptr;
     }
-    const servable_routes& entry = leaf_of->entries[at % fan_out];
+    const servable_routes& entry = child->entries[at % fan_out];
     return entry.id ? &entry : nullptr;
 }
 
@@ -50,11 +51,11 @@
     const std::size_t at = id.value;
     while (at / node_span >= this->root.size())
     {
-        own(this->root.emplace_back(), current);
+        make_writable(this->root.emplace_back(), current);
     }
-    node& branch = own(this->root[at / node_span], current);
-    leaf& leaf_of = own(branch.leaves[at / fan_out % fan_out], current);
-    return leaf_of.entries[at % fan_out];
+    node& branch = make_writable(this->root[at / node_span], current);
+    leaf& child = make_writable(branch.leaves[at / fan_out % fan_out], current);
+    return child.entries[at % fan_out];
 }
 
 void servable_tree::erase(servable_id id, edition current)
--- a/src/core/routing/servable_tree.hpp
+++ b/src/core/routing/servable_tree.hpp
@@ -11,41 +11,43 @@
 namespace roseworks::detail
 {
 
-/// Number of a publication; parts made since the last one may be edited.
+/// Version of a snapshot. Nodes that were created since the last publication
+/// have the current version and may be modified in place.
 using edition = std::uint64_t;
 
-/** Models and adapters by id: a tree of three levels, copied on write.
+/** Models and adapters by id: a copy-on-write tree of three levels.
 
-    Copies share their parts. An editor copies a part that an older edition
-    made, and edits one of its own edition in place; reference counts are never
-    asked, so that readers on other threads don't matter. Hint.
+    Copies of the tree share their nodes. An update copies a node of an older
+    version and modifies a node of the current version in place. It never relies
+    on reference counts, so it does not depend on readers on other threads.
+    Advisory: nothing is decided by it.
 */
 class servable_tree
 {
 public:
     static constexpr std::size_t fan_out = 64;
 
-    /// @return The entry, null when there is none.
+    /// @return Null when there is no such entry.
     const servable_routes* find(servable_id id) const;
 
-    /// @return The entry to edit; empty, with id 0, when it is new.
+    /// @return The entry to modify; a new one is empty and has id 0.
     servable_routes& edit(servable_id id, edition current);
 
     void erase(servable_id id, edition current);
 
-    /// Calls `visit` with each entry, by id.
+    /// Calls `visit` with each entry, in order of the ids.
     template <class Visit>
     void for_each(const Visit& visit) const
     {
         for (const auto& branch : this->root)
         {
-            for (const auto& leaf_of : branch->leaves)
+            for (const auto& child : branch->leaves)
             {
-                for (std::size_t i = 0; leaf_of && i < fan_out; ++i)
+                for (std::size_t i = 0; child && i < fan_out; ++i)
                 {
-                    if (leaf_of->entries[i].id)
+                    if (child->entries[i].id)
                     {
-                        visit(leaf_of->entries[i]);
+                        visit(child->entries[i]);
                     }
                 }
             }
@@ -55,13 +57,13 @@
 private:
     struct leaf
     {
-        edition made = 0;
+        edition version = 0;
         std::array<servable_routes, fan_out> entries;
     };
 
     struct node
     {
-        edition made = 0;
+        edition version = 0;
         std::array<std::shared_ptr<leaf>, fan_out> leaves;
     };
 
--- a/src/core/routing/server_loads.cpp
+++ b/src/core/routing/server_loads.cpp
@@ -44,7 +44,8 @@
 std::uint32_t
 server_loads::limit(server_key server, std::uint32_t streams, instant now) const
 {
-    // Alone, or not knowing of others: what is foreign isn't a router's.
+    // Without other known routers, foreign requests are not sent by routers,
+    // and there is nobody to share the streams with.
     const std::uint32_t share =
         this->routers > 1 ? streams / static_cast<std::uint32_t>(this->routers)
                           : 0;
--- a/src/core/routing/server_loads.hpp
+++ b/src/core/routing/server_loads.hpp
@@ -12,38 +12,38 @@
 namespace roseworks::detail
 {
 
-/// A backend server: an engine's id, or the hash of a service's address.
+/// Identifies a backend server: the id of an engine, or the hash of the address
+/// of a plain service.
 using server_key = std::uint64_t;
 
-/// @return The key of an engine.
 constexpr server_key key_of(engine_id engine)
 {
     return engine.value;
 }
 
-/// @return The key of a plain service's address.
+/// @param address Address of a plain service.
 server_key key_of_address(std::string_view address);
 
-/// @return The key of a server that a grant names.
+/// @param server The server that a grant names.
 server_key key_of(const server_place& server);
 
-/// Load of one backend server, as seen from this router.
+/// The load of one backend server, as seen by this router.
 struct server_state
 {
-    std::uint32_t own = 0;     ///< granted here and not finished
-    std::uint32_t foreign = 0; ///< others' at the last report
+    std::uint32_t own = 0;     ///< requests of this router in flight
+    std::uint32_t foreign = 0; ///< requests of others at the last report
     instant reported = instant::min();
-    ticket exclusive; ///< a suspect request runs alone here
-    ticket held;      ///< a suspect request waits for it to be idle
-    server_pace pace; ///< of what is sent there
+    ticket exclusive; ///< suspect request that runs alone on the server
+    ticket held;      ///< suspect request that waits for the server to be idle
+    server_pace pace; ///< permits, if the server has a rate limit
 };
 
-/** Load of the backend servers: their lagged reports, corrected by this
-    router's own requests. Hint. */
+/** The loads of the backend servers: their reports, which lag behind, corrected
+    by the requests of this router. Advisory: nothing is decided by it. */
 class server_loads
 {
 public:
-    /// A report older than this says nothing.
+    /// An older report is ignored.
     static constexpr duration report_lifetime = std::chrono::seconds(12);
 
     server_state& at(server_key server)
@@ -53,38 +53,42 @@
 
     void reported(const load_report& report, instant now);
 
-    /// @return Requests of other routers there, by the last fresh report.
+    /// @return Requests of other routers on the server by its last report; 0
+    ///         when this is older than `report_lifetime`.
     std::uint32_t foreign(server_key server, instant now) const;
 
-    /// So many routers are alive, this one included; 0: not known.
+    /// Sets the number of live routers, including this one; 0: not known.
     void routers_alive(std::size_t count)
     {
         this->routers = count;
     }
 
-    /** Requests that this router may run on a server at once.
+    /** Returns how many requests this router may run on a server at once.
 
-        What others leave free, but never less than its equal share: a router
-        that found the server idle would else keep all of it.
+        This is the number of streams that other routers leave free, but never
+        less than an equal share. Without the share, a router that found the
+        server idle would keep all of its streams.
 
-        @param streams That the server runs at once.
+        @param streams The number of requests that the server runs at once.
     */
     std::uint32_t
     limit(server_key server, std::uint32_t streams, instant now) const;
 
-    /// @return Own requests and those of others.
+    /// @return Requests of this router and of others on the server.
     std::uint32_t load(server_key server, instant now) const;
 
-    /// @return Whether it named no rate limit, or there is a permit for it.
+    /// @return Whether the server has no rate limit, or a permit for it is
+    ///         valid.
     bool may_send(server_key server, instant now) const;
 
-    /// @return Null when nothing is known of the server.
+    /// @return Null for an unknown server.
     const server_pace* pace_of(server_key server) const;
 
-    /// @return Whether it named a rate limit.
+    /// @return Whether the server has a rate limit.
     bool is_limited(server_key server) const;
 
-    /// @return Whether a suspect request keeps others away.
+    /// @return Whether a suspect request runs alone on the server or waits to
+    ///         do so.
     bool reserved(server_key server) const;
 
 private:
--- a/src/core/routing/server_pace.cpp
+++ b/src/core/routing/server_pace.cpp
@@ -9,19 +9,20 @@
 namespace
 {
 
-/// Nothing has waited for the server since then.
-constexpr duration forgotten_after = std::chrono::seconds(2);
+/// If no permit was requested for so long, no request has been waiting for the
+/// server in between.
+constexpr duration idle_after = std::chrono::seconds(2);
 
 } // namespace
 
 void server_pace::limit(double requests)
 {
-    const bool begins_or_ends = (requests > 0) != this->is_limited();
-    if (begins_or_ends)
+    const bool toggled = (requests > 0) != this->is_limited();
+    if (toggled)
         *this = server_pace();
     this->per_second = requests;
-    if (begins_or_ends && requests > 0)
-        this->usual_turn = std::chrono::duration_cast<duration>(
+    if (toggled && requests > 0)
+        this->average_interval = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(1 / requests));
 }
 
@@ -29,16 +30,16 @@
 {
     if (!this->is_limited())
         return std::nullopt;
-    if (this->is_asked)
-        return this->last_asked + longest_answer;
-    return this->allowed_from ? *this->allowed_from : this->ask_again;
+    if (this->is_requested)
+        return this->requested_at + answer_timeout;
+    return this->valid_from ? *this->valid_from : this->retry_at;
 }
 
 duration server_pace::turn(instant now) const
 {
     const duration waited =
         this->waiting_since ? now - *this->waiting_since : duration::zero();
-    return std::max(this->usual_turn, waited);
+    return std::max(this->average_interval, waited);
 }
 
 duration server_pace::next_in(instant now) const
@@ -47,50 +48,51 @@
     {
         return std::max<duration>(when - now, duration::zero());
     };
-    if (this->allowed_from)
-        return until(*this->allowed_from);
-    const duration retry = this->is_asked || this->ask_again <= now
+    if (this->valid_from)
+        return until(*this->valid_from);
+    const duration retry = this->is_requested || this->retry_at <= now
                                ? duration::zero()
-                               : until(this->ask_again);
+                               : until(this->retry_at);
     if (!this->waiting_since)
         return retry;
-    // One that is overdue isn't there yet, either.
+    // An overdue permit is expected after half an average interval, not now.
     const duration left = std::max(
-        until(*this->waiting_since + this->usual_turn), this->usual_turn / 2);
+        until(*this->waiting_since + this->average_interval),
+        this->average_interval / 2);
     return std::max(retry, left);
 }
 
 void server_pace::asked(bool waits, instant now)
 {
-    const bool anew =
-        !this->waiting_since || now - this->last_asked >= forgotten_after;
-    if (waits && anew)
+    const bool restarted =
+        !this->waiting_since || now - this->requested_at >= idle_after;
+    if (waits && restarted)
         this->waiting_since = now;
-    this->is_asked = true;
-    this->last_asked = now;
+    this->is_requested = true;
+    this->requested_at = now;
 }
 
 void server_pace::allowed(instant from)
 {
-    this->is_asked = false;
+    this->is_requested = false;
     if (!this->is_limited())
         return;
-    this->allowed_from = from;
+    this->valid_from = from;
     if (this->waiting_since)
-        this->usual_turn =
-            (this->usual_turn + (from - *this->waiting_since)) / 2;
+        this->average_interval =
+            (this->average_interval + (from - *this->waiting_since)) / 2;
     this->waiting_since.reset();
 }
 
 void server_pace::refused(instant retry)
 {
-    this->is_asked = false;
-    this->ask_again = retry;
+    this->is_requested = false;
+    this->retry_at = retry;
 }
 
 bool server_pace::withdraw()
 {
-    return std::exchange(this->allowed_from, std::nullopt).has_value();
+    return std::exchange(this->valid_from, std::nullopt).has_value();
 }
 
 } // namespace roseworks::detail
--- a/src/core/routing/server_pace.hpp
+++ b/src/core/routing/server_pace.hpp
@@ -7,16 +7,17 @@
 namespace roseworks::detail
 {
 
-/** Whether requests may be sent to a server that named a rate limit.
+/** The permits of this router for a server that has a rate limit.
 
-    The limit is one sum over all routers, so that each request takes a permit
-    from whoever counts it. One permit is asked for at a time. How long this
-    router waits for its turn among the others is observed. Hint.
+    The limit holds for all routers together, so each request needs a permit
+    from the router that counts the requests of this server. One permit is
+    requested at a time. The waiting time for a permit is averaged to estimate
+    the next one. Advisory: nothing is decided by it.
 */
 class server_pace
 {
 public:
-    /// @param per_second Requests, over all routers; 0: no limit.
+    /// @param per_second Requests a second of all routers; 0: no limit.
     void limit(double per_second);
 
     bool is_limited() const
@@ -27,56 +28,59 @@
     bool may_send(instant now) const
     {
         return !this->is_limited() ||
-               (this->allowed_from && *this->allowed_from <= now);
+               (this->valid_from && *this->valid_from <= now);
     }
 
-    /// @return Whether a permit is to be asked for.
+    /// @return Whether a permit has to be requested now.
     bool must_ask(instant now) const
     {
         return this->is_limited() && !this->awaits_answer(now) &&
-               !this->allowed_from && this->ask_again <= now;
+               !this->valid_from && this->retry_at <= now;
     }
 
-    /// @return Whether the answer to an ask is still to come.
+    /// @return Whether a requested permit was neither granted nor refused yet.
     bool awaits_answer(instant now) const
     {
-        return this->is_asked && now - this->last_asked < longest_answer;
+        return this->is_requested && now - this->requested_at < answer_timeout;
     }
 
-    /// @return When `must_ask` or `may_send` changes by itself.
+    /// @return When the result of `must_ask` or `may_send` may change by the
+    ///         passing of time alone.
     std::optional<instant> changes_at() const;
 
-    /// @return How long until a request may be sent, as far as is known.
+    /// @return The estimated time until a request may be sent.
     duration next_in(instant now) const;
 
-    /// @return Time between two permits of this router while requests wait.
+    /// @return The time between two permits of this router while requests wait.
     duration turn(instant now) const;
 
-    /// @param waits Whether a request has no other server to go to.
+    /// A permit was requested.
+    /// @param waits Whether a request waits that no other server can take.
     void asked(bool waits, instant now);
     void allowed(instant from);
     void refused(instant retry);
 
-    /// A request is sent under the permit.
+    /// A request was sent and used the permit.
     void sent()
     {
-        this->allowed_from.reset();
+        this->valid_from.reset();
     }
 
-    /// @return Whether there was a permit.
+    /// Gives the permit up.
+    /// @return Whether there was one.
     bool withdraw();
 
 private:
-    /// An ask without an answer for so long is made again.
-    static constexpr duration longest_answer = std::chrono::seconds(1);
+    /// A permit is requested again if no answer came within this time.
+    static constexpr duration answer_timeout = std::chrono::seconds(1);
 
     double per_second = 0;
-    bool is_asked = false;
-    std::optional<instant> allowed_from; ///< of the permit
-    instant ask_again = instant::min();
-    duration usual_turn{};
-    std::optional<instant> waiting_since; ///< for a permit
-    instant last_asked;
+    bool is_requested = false;
+    std::optional<instant> valid_from;    ///< start of the permit's validity
+    instant retry_at = instant::min();    ///< earliest time of the next request
+    duration average_interval{};          ///< moving average
+    std::optional<instant> waiting_since; ///< since when a request waits
+    instant requested_at;
 };
 
 } // namespace roseworks::detail
--- a/src/core/routing/sharded_table.cpp
+++ b/src/core/routing/sharded_table.cpp
@@ -11,16 +11,17 @@
 
 using fingerprints = table_snapshot::fingerprints;
 
-bool holds(const fingerprints& sorted, fingerprint wanted)
+bool contains(const fingerprints& sorted, fingerprint wanted)
 {
     return std::binary_search(sorted.begin(), sorted.end(), wanted);
 }
 
-/// @return The set with the fingerprint added or removed, null when it is so.
+/// @return The set with the fingerprint added or removed; null when this would
+///         change nothing.
 std::shared_ptr<const fingerprints>
 changed(const fingerprints& sorted, fingerprint one, bool wanted)
 {
-    if (holds(sorted, one) == wanted)
+    if (contains(sorted, one) == wanted)
     {
         return nullptr;
     }
@@ -69,12 +70,12 @@
 
 bool table_snapshot::is_blocked(fingerprint request) const
 {
-    return holds(*this->blocked, request);
+    return contains(*this->blocked, request);
 }
 
 bool table_snapshot::is_suspect(fingerprint request) const
 {
-    return holds(*this->suspects, request);
+    return contains(*this->suspects, request);
 }
 
 bool table_snapshot::log_available() const
@@ -113,12 +114,12 @@
     this->published.reset();
 }
 
-void sharded_table::keep_names(std::shared_ptr<const void> owner)
+void sharded_table::retain_names(std::shared_ptr<const void> owner)
 {
     this->working.names_owner = std::move(owner);
 }
 
-bool sharded_table::keeps(const std::shared_ptr<const void>& owner) const
+bool sharded_table::retains(const std::shared_ptr<const void>& owner) const
 {
     return owner != nullptr && this->working.names_owner == owner;
 }
@@ -129,15 +130,15 @@
     const servable_routes* before = this->find(id);
     if (before == nullptr)
     {
-        this->working.names.insert(entry.name, id, this->current);
+        this->working.names.insert(entry.name, id, this->version);
     }
     else if (before->name != entry.name)
     {
-        this->working.names.erase(before->name, id, this->current);
-        this->working.names.insert(entry.name, id, this->current);
+        this->working.names.erase(before->name, id, this->version);
+        this->working.names.insert(entry.name, id, this->version);
     }
     entry.ready.shrink_to_fit();
-    this->working.servables.edit(id, this->current) = std::move(entry);
+    this->working.servables.edit(id, this->version) = std::move(entry);
     this->published.reset();
 }
 
@@ -148,8 +149,8 @@
     {
         return;
     }
-    this->working.names.erase(before->name, id, this->current);
-    this->working.servables.erase(id, this->current);
+    this->working.names.erase(before->name, id, this->version);
+    this->working.servables.erase(id, this->version);
     this->published.reset();
 }
 
@@ -200,18 +201,18 @@
     this->published.reset();
 }
 
-void sharded_table::set_blocked(fingerprint request, bool is)
+void sharded_table::set_blocked(fingerprint request, bool blocked)
 {
-    if (auto next = changed(*this->working.blocked, request, is))
+    if (auto next = changed(*this->working.blocked, request, blocked))
     {
         this->working.blocked = std::move(next);
         this->published.reset();
     }
 }
 
-void sharded_table::set_suspect(fingerprint request, bool is)
+void sharded_table::set_suspect(fingerprint request, bool suspect)
 {
-    if (auto next = changed(*this->working.suspects, request, is))
+    if (auto next = changed(*this->working.suspects, request, suspect))
     {
         this->working.suspects = std::move(next);
         this->published.reset();
@@ -242,7 +243,7 @@
     if (!this->published)
     {
         this->published = std::make_shared<const table_snapshot>(this->working);
-        ++this->current;
+        ++this->version;
     }
     return this->published;
 }
--- a/src/core/routing/sharded_table.hpp
+++ b/src/core/routing/sharded_table.hpp
@@ -13,8 +13,9 @@
 namespace roseworks::detail
 {
 
-/** The table that `sharded_table` publishes: immutable, shares its parts with
-    those before and after it. Hint. */
+/** The immutable table that `sharded_table` publishes. It shares all unchanged
+    parts with the snapshots before and after it. Advisory: nothing is decided
+    by it. */
 class table_snapshot final : public routing_table
 {
 public:
@@ -34,7 +35,7 @@
 private:
     friend class sharded_table;
 
-    std::shared_ptr<const void> names_owner; ///< of borrowed names
+    std::shared_ptr<const void> names_owner; ///< keeps borrowed names alive
     servable_tree servables;
     name_index names;
     std::shared_ptr<const service_map> services;
@@ -44,28 +45,29 @@
     bool log_was_available = true;
 };
 
-/** A routing table under edit; publishes immutable snapshots of itself.
+/** A mutable routing table that publishes immutable snapshots of itself.
 
-    Services, callers and fingerprints are few and change at an operator's
-    rate: their maps are copied whole. Hint; not thread-safe.
+    Services, callers and fingerprints are few and change no more often than an
+    operator acts, so their maps are copied as a whole. Advisory: nothing is
+    decided by it. Not thread-safe.
 */
 class sharded_table
 {
 public:
     sharded_table();
 
-    /// Keeps the owner of names that entries borrow, until `clear`.
-    void keep_names(std::shared_ptr<const void> owner);
+    /// Retains the owner of names that entries borrow until `clear`.
+    void retain_names(std::shared_ptr<const void> owner);
 
-    /// @return Whether names of this owner may be borrowed.
-    bool keeps(const std::shared_ptr<const void>& owner) const;
+    /// @return Whether entries may borrow names of this owner.
+    bool retains(const std::shared_ptr<const void>& owner) const;
 
-    /// Puts a model or adapter, in place of the one with its id.
+    /// Inserts a model or adapter, or replaces the one with the same id.
     void put(servable_routes entry);
     void erase(servable_id id);
     const servable_routes* find(servable_id id) const;
 
-    /// Calls `visit` with each model and adapter, by id.
+    /// Calls `visit` with each model and adapter, in order of the ids.
     template <class Visit>
     void for_each(const Visit& visit) const
     {
@@ -84,15 +86,15 @@
 
     void set_log_available(bool available);
 
-    /// Forgets everything but whether the log is available.
+    /// Removes everything except whether the log is available.
     void clear();
 
-    /// @return The table as of now; the one before when nothing changed.
+    /// @return A snapshot; the previous one when nothing has changed since.
     routing_table_ptr publish();
 
 private:
     table_snapshot working;
-    edition current = 1;
+    edition version = 1;
     routing_table_ptr published;
 };
 
