--- a/bench/dispatch/affinity_calls.cpp
+++ b/bench/dispatch/affinity_calls.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t prefix_count = 400;
 constexpr double mean_decode_us = 500'000;
 
-/// Spreads the numbers of prefixes; never 0.
-std::uint64_t name_of(std::uint64_t prefix)
+/// Hashes the number of a prefix; never 0, which stands for no prefix.
+std::uint64_t prefix_hash(std::uint64_t prefix)
 {
     std::uint64_t value = prefix + 0x9E3779B97F4A7C15ULL;
     value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -44,7 +44,7 @@
         affinity_call one;
         one.at = at;
         one.router = random() % routers;
-        one.prefix = name_of(prefix(random));
+        one.prefix = prefix_hash(prefix(random));
         one.decode = duration(static_cast<duration::rep>(decode(random)));
         calls.push_back(one);
     }
--- a/bench/dispatch/affinity_calls.hpp
+++ b/bench/dispatch/affinity_calls.hpp
@@ -10,7 +10,7 @@
 namespace roseworks::bench
 {
 
-/// A call of the experiment, and what became of it.
+/// A call of the experiment and its outcome.
 struct affinity_call
 {
     instant at;
@@ -23,13 +23,13 @@
     duration first_byte{};
 };
 
-/** Calls at random times with prefixes by Zipf's law.
+/** Generates Poisson arrivals with prefixes that follow Zipf's law.
 
     @param rate    Calls a second.
-    @param from    After this time.
-    @param until   The last call is the first at or after this time.
-    @param routers The number of routers, drawn evenly.
-    @param random  What the calls are drawn by.
+    @param from    Start of the arrivals.
+    @param until   The first call at or after this time is the last one.
+    @param routers Number of routers; each call goes to a random one.
+    @param random  Random number generator to use.
     @return        The calls in order of time.
 */
 std::vector<affinity_call> make_affinity_calls(
--- a/bench/dispatch/affinity_engine.cpp
+++ b/bench/dispatch/affinity_engine.cpp
@@ -9,10 +9,10 @@
 {
 
 constexpr std::size_t cache_size = 64;
-constexpr std::uint64_t one_lost_in = 10;
+constexpr std::uint64_t loss_interval = 10;
 
-/// More than any reader's interval brings.
-constexpr std::size_t kept_events = 4096;
+/// More events than an engine publishes between two reads of any reader.
+constexpr std::size_t max_retained_events = 4096;
 
 } // namespace
 
@@ -65,12 +65,12 @@
 void affinity_engine::publish(std::uint64_t prefix, bool is_cached, instant now)
 {
     const std::uint64_t sequence = this->next_sequence++;
-    const bool lost = this->random() % one_lost_in == 0;
-    if (!lost || this->lossless)
+    const bool lost = this->random() % loss_interval == 0;
+    if (!lost || this->is_lossless)
     {
         this->events.push_back({{sequence, prefix, is_cached}, now});
     }
-    if (this->events.size() > kept_events)
+    if (this->events.size() > max_retained_events)
     {
         this->events.pop_front();
     }
--- a/bench/dispatch/affinity_engine.hpp
+++ b/bench/dispatch/affinity_engine.hpp
@@ -11,11 +11,11 @@
 namespace roseworks::bench
 {
 
-/// Requests that an engine of the experiment runs at once.
+/// The number of requests that an engine of the experiment runs at once.
 inline constexpr std::uint16_t affinity_streams = 8;
 
-/// An engine of the experiment: slots, a queue and a prefix cache with its
-/// events, of which some are lost.
+/// An engine of the experiment: slots, a queue and a prefix cache that
+/// publishes events, some of which are lost.
 class affinity_engine
 {
 public:
@@ -24,25 +24,26 @@
         return this->running < affinity_streams;
     }
 
-    /// @return Whether the prefix was cached; it is from now on.
+    /// Caches the prefix.
+    /// @return Whether it was cached before.
     bool use(std::uint64_t prefix, instant now);
 
-    /// Begin again with an empty cache, under a new incarnation.
+    /// Restarts with an empty cache and a new incarnation.
     void restart();
 
-    /** The events from a number on.
+    /** Returns the events from a sequence number on.
 
-        @param from    The first number asked for.
-        @param visible Only events that are at least so old are seen.
-        @return        The report, without the engine's id.
+        @param from    The first sequence number.
+        @param visible Only events up to this time are returned.
+        @return        The report, without the id of the engine.
     */
     cache_report read(std::uint64_t from, instant visible) const;
 
     std::mt19937_64 random;        ///< decides which events are lost
-    std::deque<std::size_t> queue; ///< calls
+    std::deque<std::size_t> queue; ///< indices of calls
     std::uint32_t running = 0;
     std::uint64_t incarnation = 1;
-    bool lossless = false;
+    bool is_lossless = false;
 
 private:
     struct published_event
--- a/bench/dispatch/affinity_experiment.cpp
+++ b/bench/dispatch/affinity_experiment.cpp
@@ -28,29 +28,29 @@
 constexpr std::size_t router_count = 4;
 constexpr std::size_t engine_count = 8;
 constexpr instant start{1h};
-constexpr instant warm = start + 2min;
+constexpr instant measured_from = start + 2min;
 constexpr instant end = start + 10min;
-constexpr duration prefill_whole = 400ms;
+constexpr duration prefill_uncached = 400ms;
 constexpr duration prefill_cached = 60ms;
 constexpr duration event_lag = 1s;
-constexpr duration held_interval = 2s;
-constexpr duration foreign_interval = 10s;
-constexpr duration frequent_interval = 500ms;
-constexpr duration patience = 60s;
+constexpr duration own_read_interval = 2s;
+constexpr duration other_read_interval = 10s;
+constexpr duration frequent_read_interval = 500ms;
+constexpr duration request_timeout = 60s;
 
-// Of the runs with churn.
+// Schedule of the runs with churn.
 constexpr std::size_t leaving_engine = 7;
 constexpr std::size_t restarted_engine = 2;
 constexpr instant leaves_at = start + 4min;
 constexpr instant returns_at = start + 6min;
 constexpr instant restarts_at = start + 8min;
 
-/// Where a router is in an engine's events.
+/// How far a router has read the events of an engine.
 struct reader
 {
     std::uint64_t incarnation = 0;
-    std::uint64_t next = 0;   ///< by the engine's count
-    std::uint64_t hidden = 0; ///< by a count without gaps
+    std::uint64_t next = 0;            ///< next sequence number of the engine
+    std::uint64_t renumbered_next = 0; ///< the same, renumbered without gaps
 };
 
 struct router
@@ -81,8 +81,8 @@
     instant at;
     std::uint64_t number = 0;
     kind what = kind::arrival;
-    std::size_t index = 0;  ///< call, or router
-    std::size_t engine = 0; ///< of a read
+    std::size_t index = 0;  ///< index of the call or router
+    std::size_t engine = 0; ///< index of the engine, for a read
 
     bool operator>(const step& other) const
     {
@@ -91,7 +91,7 @@
     }
 };
 
-routing_table_ptr make_table(std::optional<std::size_t> without)
+routing_table_ptr make_table(std::optional<std::size_t> absent)
 {
     detail::sharded_table table;
     servable_routes entry;
@@ -101,7 +101,7 @@
     entry.max_replicas = engine_count;
     for (std::size_t i = 0; i < engine_count; ++i)
     {
-        if (without == i)
+        if (absent == i)
         {
             continue;
         }
@@ -157,7 +157,7 @@
         for (std::size_t e = 0; e < engine_count; ++e)
         {
             this->engines[e].random.seed(this->setting.seed * 1000 + e);
-            this->engines[e].lossless =
+            this->engines[e].is_lossless =
                 this->setting.kind == affinity_kind::cache_events_whole;
         }
         if (this->setting.churn)
@@ -176,7 +176,7 @@
             const step next = this->steps.top();
             this->steps.pop();
             this->now = next.at;
-            this->take(next);
+            this->process(next);
         }
         return this->result();
     }
@@ -198,7 +198,7 @@
         this->steps.push(next);
     }
 
-    void take(const step& next)
+    void process(const step& next)
     {
         switch (next.what)
         {
@@ -227,15 +227,15 @@
         }
     }
 
-    void change_table(std::optional<std::size_t> without)
+    void change_table(std::optional<std::size_t> absent)
     {
-        this->missing = without;
-        const routing_table_ptr table = make_table(without);
+        this->absent_engine = absent;
+        const routing_table_ptr table = make_table(absent);
         for (std::size_t i = 0; i < router_count; ++i)
         {
             this->routers[i].core.routers_alive(router_count, this->now);
             this->routers[i].core.table_changed(table, this->now);
-            this->collect(i);
+            this->process_commands(i);
         }
     }
 
@@ -247,34 +247,35 @@
             do
             {
                 one.engine = this->random() % engine_count;
-            } while (one.engine == this->missing);
+            } while (one.engine == this->absent_engine);
             this->enqueue(index);
             return;
         }
         request_info info;
         info.target = "model";
-        info.deadline = one.at + patience;
+        info.deadline = one.at + request_timeout;
         info.prefix = one.prefix;
-        router& by = this->routers[one.router];
-        one.id = by.core.submit(std::move(info), this->now);
-        by.calls.emplace(one.id, index);
-        this->collect(one.router);
+        router& via = this->routers[one.router];
+        one.id = via.core.submit(std::move(info), this->now);
+        via.calls.emplace(one.id, index);
+        this->process_commands(one.router);
     }
 
-    void collect(std::size_t index)
+    void process_commands(std::size_t index)
     {
-        router& by = this->routers[index];
-        for (const dispatch_command& command : by.core.take_commands())
+        router& via = this->routers[index];
+        for (const dispatch_command& command : via.core.take_commands())
         {
-            if (const auto* start_there = std::get_if<grant>(&command))
+            if (const auto* granted_call = std::get_if<grant>(&command))
             {
-                const std::size_t granted = by.calls.at(start_there->request);
-                this->calls[granted].engine = start_there->engine.value - 1;
-                this->enqueue(granted);
+                const std::size_t call_index =
+                    via.calls.at(granted_call->request);
+                this->calls[call_index].engine = granted_call->engine.value - 1;
+                this->enqueue(call_index);
             }
             else if (const auto* no = std::get_if<refusal>(&command))
             {
-                by.calls.erase(no->request);
+                via.calls.erase(no->request);
                 ++this->refused;
             }
         }
@@ -298,14 +299,14 @@
             affinity_call& one = this->calls[index];
             const bool hit = at.use(one.prefix, this->now);
             const instant first =
-                this->now + (hit ? prefill_cached : prefill_whole);
+                this->now + (hit ? prefill_cached : prefill_uncached);
             one.first_byte = first - one.sent;
             this->push(
                 {first + one.decode, 0, step::kind::completion, index, 0});
-            if (one.at >= warm)
+            if (one.at >= measured_from)
             {
                 this->hits += hit ? 1 : 0;
-                this->waits.push_back(first - one.at);
+                this->latencies.push_back(first - one.at);
             }
         }
     }
@@ -325,25 +326,25 @@
         result.total = this->now - one.sent;
         this->routers[one.router].core.finished(one.id, result, this->now);
         this->routers[one.router].calls.erase(one.id);
-        this->collect(one.router);
+        this->process_commands(one.router);
     }
 
     void read(std::size_t index, std::size_t at)
     {
         const affinity_engine& from = this->engines[at];
-        router& by = this->routers[index];
+        router& via = this->routers[index];
         const engine_id id(at + 1);
-        by.core.load_reported(
+        via.core.load_reported(
             {id, from.running, static_cast<std::uint32_t>(from.queue.size())},
             this->now);
-        this->collect(index);
-        by.core.cache_reported(this->read_events(by, at), this->now);
+        this->process_commands(index);
+        via.core.cache_reported(this->read_events(via, at), this->now);
 
-        duration interval =
-            at % router_count == index ? held_interval : foreign_interval;
+        duration interval = at % router_count == index ? own_read_interval
+                                                       : other_read_interval;
         if (this->setting.frequent_reads)
         {
-            interval = frequent_interval;
+            interval = frequent_read_interval;
         }
         if (this->now + interval < end)
         {
@@ -351,10 +352,10 @@
         }
     }
 
-    cache_report read_events(router& by, std::size_t at)
+    cache_report read_events(router& via, std::size_t at)
     {
         const affinity_engine& from = this->engines[at];
-        reader& place = by.readers[at];
+        reader& place = via.readers[at];
         if (place.incarnation != from.incarnation)
         {
             place = {from.incarnation, 0, 0};
@@ -367,28 +368,29 @@
         place.next = report.next;
         if (this->setting.kind == affinity_kind::cache_events_kept)
         {
-            this->hide_gaps(report, place);
+            this->renumber(report, place);
         }
         return report;
     }
 
-    /// The same events under numbers without gaps.
-    static void hide_gaps(cache_report& report, reader& place)
+    /// Renumbers the events of the report without gaps.
+    static void renumber(cache_report& report, reader& place)
     {
-        report.from = place.hidden;
-        place.hidden = std::max<std::uint64_t>(place.hidden, 1);
+        report.from = place.renumbered_next;
+        place.renumbered_next =
+            std::max<std::uint64_t>(place.renumbered_next, 1);
         for (cache_event& one : report.events)
         {
-            one.sequence = place.hidden++;
+            one.sequence = place.renumbered_next++;
         }
-        report.next = place.hidden;
+        report.next = place.renumbered_next;
     }
 
     void tick(std::size_t index)
     {
         this->routers[index].core.tick(this->now);
-        this->collect(index);
-        if (this->now < end + patience)
+        this->process_commands(index);
+        if (this->now < end + request_timeout)
         {
             this->push({this->now + 50ms, 0, step::kind::tick, index, 0});
         }
@@ -396,14 +398,14 @@
 
     affinity_result result()
     {
-        std::sort(this->waits.begin(), this->waits.end());
+        std::sort(this->latencies.begin(), this->latencies.end());
         const auto quantile = [this](std::size_t percent)
         {
-            const std::size_t at = this->waits.size() * percent / 100;
-            return static_cast<double>(this->waits[at].count()) / 1000;
+            const std::size_t at = this->latencies.size() * percent / 100;
+            return static_cast<double>(this->latencies[at].count()) / 1000;
         };
         affinity_result out;
-        out.hits = this->hits / static_cast<double>(this->waits.size());
+        out.hits = this->hits / static_cast<double>(this->latencies.size());
         out.p99_ms = quantile(99);
         out.p50_ms = quantile(50);
         out.refused = this->refused;
@@ -415,13 +417,13 @@
     std::vector<affinity_call> calls;
     std::vector<router> routers;
     std::array<affinity_engine, engine_count> engines;
-    std::optional<std::size_t> missing;
+    std::optional<std::size_t> absent_engine;
     std::priority_queue<step, std::vector<step>, std::greater<>> steps;
     std::uint64_t step_number = 0;
     instant now = start;
     double hits = 0;
     double refused = 0;
-    std::vector<duration> waits;
+    std::vector<duration> latencies;
 };
 
 } // namespace
--- a/bench/dispatch/bench_dispatch.cpp
+++ b/bench/dispatch/bench_dispatch.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-// Counts what the allocator hands out, its rounding included.
+// Counts allocated memory, including the rounding of the allocator.
 void* operator new(std::size_t size)
 {
     void* block = std::malloc(size);
@@ -104,7 +104,8 @@
     return info;
 }
 
-/// One request after the other over 100 models, with a free slot for each.
+/// Measures a request's way through the dispatcher: one request after the other
+/// over 100 models, each with a free slot.
 void measure_cycles()
 {
     detail::sharded_table table;
@@ -136,7 +137,7 @@
     print("dispatch_cycles_per_second", 1e9 / each, "1/s");
 }
 
-/// Submits to a target at which 4000 wait already.
+/// Measures submission to a target with a queue of 4000 requests.
 void measure_queue()
 {
     dispatcher::options settings;
@@ -196,7 +197,7 @@
     return entry;
 }
 
-/// Size of a table of 87,000 adapters and the cost of one change of it.
+/// Measures the size of a table of 87,000 adapters and the cost of a change.
 void measure_table()
 {
     const std::size_t before = heap_bytes;
@@ -275,7 +276,7 @@
     }
 }
 
-/// Means of five seeds, counts added up.
+/// Prints the means of five seeds; counts are summed up.
 void measure_shared_engines(std::size_t routers, double load)
 {
     constexpr std::uint64_t seeds = 5;
@@ -316,7 +317,7 @@
     }
 }
 
-/// Means of three seeds.
+/// Prints the means of three seeds.
 void measure_affinity(bench::affinity_setting setting, const char* kind)
 {
     constexpr std::uint64_t seeds = 3;
@@ -362,9 +363,9 @@
         {
             for (const double rate : {30.0, 60.0, 75.0})
             {
-                for (const auto& [kind, word] : kinds)
+                for (const auto& [kind, label] : kinds)
                 {
-                    measure_affinity({kind, rate, churn, frequent, 1}, word);
+                    measure_affinity({kind, rate, churn, frequent, 1}, label);
                 }
             }
         }
--- a/bench/dispatch/overload_experiment.cpp
+++ b/bench/dispatch/overload_experiment.cpp
@@ -24,11 +24,11 @@
 constexpr std::uint32_t replicas = 4;
 constexpr std::uint16_t streams = 4;
 constexpr std::size_t slots = std::size_t(replicas) * streams;
-constexpr std::size_t queue_bound = 1000;
-constexpr duration length = 10min;
+constexpr std::size_t max_queue_length = 1000;
+constexpr duration run_time = 10min;
 constexpr double mean_service_us = 200'000;
-constexpr std::array<duration, 3> patience{2s, 10s, 60s};
-constexpr std::array<double, 3> mix{0.1, 0.3, 0.6};
+constexpr std::array<duration, 3> time_to_first_byte_limit{2s, 10s, 60s};
+constexpr std::array<double, 3> class_shares{0.1, 0.3, 0.6};
 
 struct arrival
 {
@@ -39,7 +39,8 @@
 
     instant deadline() const
     {
-        return this->at + patience[static_cast<std::size_t>(this->level)];
+        return this->at +
+               time_to_first_byte_limit[static_cast<std::size_t>(this->level)];
     }
 };
 
@@ -65,10 +66,11 @@
     const double rate = load * slots / mean_service_us;
     std::exponential_distribution<double> gap(rate);
     std::exponential_distribution<double> service(1 / mean_service_us);
-    std::discrete_distribution<int> level(mix.begin(), mix.end());
+    std::discrete_distribution<int> level(
+        class_shares.begin(), class_shares.end());
     std::vector<arrival> all;
     instant at{1h};
-    while (at < instant{1h} + length)
+    while (at < instant{1h} + run_time)
     {
         at += duration(static_cast<duration::rep>(gap(random)) + 1);
         arrival one;
@@ -82,11 +84,11 @@
     return all;
 }
 
-/// Counts what the callers saw.
-class score
+/// Counts the outcomes of requests.
+class outcome_counter
 {
 public:
-    explicit score(const std::vector<arrival>& all)
+    explicit outcome_counter(const std::vector<arrival>& all)
         : arrivals(all)
     {
     }
@@ -113,17 +115,17 @@
 
     overload_result result()
     {
-        std::array<double, 3> asked{};
+        std::array<double, 3> requested{};
         for (const arrival& one : this->arrivals)
         {
-            ++asked[static_cast<std::size_t>(one.level)];
+            ++requested[static_cast<std::size_t>(one.level)];
         }
         overload_result out;
         const double all = this->timely[0] + this->timely[1] + this->timely[2];
-        out.goodput = all / std::chrono::duration<double>(length).count();
-        out.urgent_timely = this->timely[0] / asked[0];
-        out.normal_timely = this->timely[1] / asked[1];
-        out.batch_timely = this->timely[2] / asked[2];
+        out.goodput = all / std::chrono::duration<double>(run_time).count();
+        out.urgent_timely = this->timely[0] / requested[0];
+        out.normal_timely = this->timely[1] / requested[1];
+        out.batch_timely = this->timely[2] / requested[2];
         out.refused =
             this->refusals / static_cast<double>(this->arrivals.size());
         if (!this->urgent.empty())
@@ -145,7 +147,7 @@
 
 overload_result run_fcfs(const std::vector<arrival>& arrivals)
 {
-    score seen(arrivals);
+    outcome_counter outcomes(arrivals);
     std::deque<std::size_t> queue;
     completions running;
     std::size_t next = 0;
@@ -159,23 +161,23 @@
         {
             running.pop();
         }
-        else if (queue.size() < queue_bound)
+        else if (queue.size() < max_queue_length)
         {
             queue.push_back(next++);
         }
         else
         {
-            seen.refused(next++, now);
+            outcomes.refused(next++, now);
         }
         while (!queue.empty() && running.size() < slots)
         {
             const std::size_t index = queue.front();
             queue.pop_front();
-            seen.started(index, now);
+            outcomes.started(index, now);
             running.push({now + arrivals[index].service, index, {}});
         }
     }
-    return seen.result();
+    return outcomes.result();
 }
 
 routing_table_ptr make_table()
@@ -208,29 +210,29 @@
 overload_result run_dispatcher(const std::vector<arrival>& arrivals)
 {
     dispatcher::options settings;
-    settings.max_queued_per_target = queue_bound;
+    settings.max_queued_per_target = max_queue_length;
     settings.data_centre = "here";
     dispatcher core(settings);
     core.table_changed(make_table(), instant{1h});
 
-    score seen(arrivals);
+    outcome_counter outcomes(arrivals);
     std::unordered_map<ticket, std::size_t> indices;
     completions running;
     std::size_t next = 0;
-    const auto carry_out = [&](instant now)
+    const auto process_commands = [&](instant now)
     {
         for (const dispatch_command& command : core.take_commands())
         {
-            if (const auto* given = std::get_if<grant>(&command))
+            if (const auto* granted = std::get_if<grant>(&command))
             {
-                const std::size_t index = indices.at(given->request);
-                seen.started(index, now);
+                const std::size_t index = indices.at(granted->request);
+                outcomes.started(index, now);
                 running.push(
-                    {now + arrivals[index].service, index, given->request});
+                    {now + arrivals[index].service, index, granted->request});
             }
             else if (const auto* refused = std::get_if<refusal>(&command))
             {
-                seen.refused(indices.at(refused->request), now);
+                outcomes.refused(indices.at(refused->request), now);
             }
         }
     };
@@ -249,7 +251,7 @@
         if (const auto due = core.next_tick(); due && *due < now)
         {
             core.tick(*due);
-            carry_out(*due);
+            process_commands(*due);
             continue;
         }
         if (!running.empty() && running.top().at == now)
@@ -271,9 +273,9 @@
             info.deadline = one.deadline();
             indices[core.submit(std::move(info), now)] = next++;
         }
-        carry_out(now);
+        process_commands(now);
     }
-    return seen.result();
+    return outcomes.result();
 }
 
 } // namespace
--- a/bench/dispatch/shared_engines.cpp
+++ b/bench/dispatch/shared_engines.cpp
@@ -26,12 +26,12 @@
 constexpr duration first_byte = 10ms;
 constexpr duration service = 160ms;
 constexpr duration report_lag = 5ms;
-constexpr std::array<duration, 3> patience{500ms, 2s, 6s};
-constexpr std::array<double, 3> mix{0.1, 0.3, 0.6};
-constexpr instant beginning{1h};
+constexpr std::array<duration, 3> time_limits{500ms, 2s, 6s};
+constexpr std::array<double, 3> class_shares{0.1, 0.3, 0.6};
+constexpr instant start_time{1h};
 constexpr std::uint32_t caller_count = 8;
 
-/// One call from its arrival to its end.
+/// A call and its progress.
 struct call
 {
     enum class stage : std::uint8_t
@@ -55,7 +55,7 @@
 
     instant deadline() const
     {
-        return this->at + patience[static_cast<std::size_t>(this->level)];
+        return this->at + time_limits[static_cast<std::size_t>(this->level)];
     }
 };
 
@@ -63,7 +63,7 @@
 struct engine
 {
     std::uint32_t running = 0;
-    std::set<std::pair<priority, std::size_t>> queue; ///< best class first
+    std::set<std::pair<priority, std::size_t>> queue; ///< by priority
 };
 
 routing_table_ptr make_table(const shared_engines_setup& setup)
@@ -94,15 +94,15 @@
     return table.publish();
 }
 
-/// The routers, engines and calls, and the events between them.
+/// Simulates the events between routers, engines and calls.
 class simulation
 {
 public:
-    explicit simulation(const shared_engines_setup& wanted)
-        : setup(wanted)
-        , machines(wanted.engines)
-        , indices(wanted.routers)
-        , timely(wanted.routers)
+    explicit simulation(const shared_engines_setup& experiment)
+        : setup(experiment)
+        , engine_states(experiment.engines)
+        , indices(experiment.routers)
+        , timely(experiment.routers)
     {
         this->make_routers();
         this->make_calls();
@@ -142,8 +142,8 @@
             settings.seed = this->setup.seed + i;
             this->routers.emplace_back(settings);
             this->routers.back().table_changed(
-                make_table(this->setup), beginning);
-            this->routers.back().routers_alive(this->setup.routers, beginning);
+                make_table(this->setup), start_time);
+            this->routers.back().routers_alive(this->setup.routers, start_time);
         }
     }
 
@@ -153,11 +153,12 @@
         std::mt19937_64 random(this->setup.seed);
         std::exponential_distribution<double> gap(
             this->setup.load * slots / double(service.count()));
-        std::discrete_distribution<int> level(mix.begin(), mix.end());
+        std::discrete_distribution<int> level(
+            class_shares.begin(), class_shares.end());
         std::uniform_int_distribution<duration::rep> longer(
             -this->setup.spread.count(), this->setup.spread.count());
-        const instant end = beginning + this->setup.length;
-        instant when = beginning;
+        const instant end = start_time + this->setup.length;
+        instant when = start_time;
         while (true)
         {
             when += duration(static_cast<duration::rep>(gap(random)) + 1);
@@ -192,10 +193,11 @@
         {
             for (std::size_t i = 0; i < this->setup.engines; ++i)
             {
-                const bool holds = i % this->setup.routers == router;
-                const duration every = holds ? this->setup.held_interval
-                                             : this->setup.foreign_interval;
-                this->read_load(router, i, beginning + 100ms * (i + 1), every);
+                const bool owns = i % this->setup.routers == router;
+                const duration interval = owns ? this->setup.owner_interval
+                                               : this->setup.other_interval;
+                this->read_load(
+                    router, i, start_time + 100ms * (i + 1), interval);
             }
         }
     }
@@ -203,7 +205,7 @@
     void
     read_load(std::size_t router, std::size_t which, instant when, duration gap)
     {
-        if (when >= beginning + this->setup.length)
+        if (when >= start_time + this->setup.length)
         {
             return;
         }
@@ -211,7 +213,7 @@
             when,
             [this, router, which, when, gap]
             {
-                const engine& read = this->machines[which];
+                const engine& read = this->engine_states[which];
                 load_report report;
                 report.engine =
                     engine_id(static_cast<std::uint32_t>(which + 1));
@@ -224,7 +226,7 @@
                     [this, router, report]
                     {
                         this->routers[router].load_reported(report, this->now);
-                        this->carry_out(router);
+                        this->process_commands(router);
                     });
                 this->read_load(router, which, when + gap, gap);
             });
@@ -239,7 +241,7 @@
             {
                 this->now = std::max(this->now, *due);
                 this->routers[i].tick(this->now);
-                this->carry_out(i);
+                this->process_commands(i);
                 return true;
             }
         }
@@ -256,19 +258,19 @@
         info.deadline = one.deadline();
         one.id = this->routers[one.router].submit(std::move(info), this->now);
         this->indices[one.router].emplace(one.id, index);
-        this->carry_out(one.router);
+        this->process_commands(one.router);
     }
 
-    void carry_out(std::size_t router)
+    void process_commands(std::size_t router)
     {
         for (const dispatch_command& command :
              this->routers[router].take_commands())
         {
-            if (const auto* given = std::get_if<grant>(&command))
+            if (const auto* granted = std::get_if<grant>(&command))
             {
                 const std::size_t index =
-                    this->indices[router].at(given->request);
-                this->send(index, given->engine.value - 1);
+                    this->indices[router].at(granted->request);
+                this->send(index, granted->engine.value - 1);
             }
             else if (const auto* no = std::get_if<refusal>(&command))
             {
@@ -282,7 +284,7 @@
         call& one = this->calls[index];
         one.engine = which;
         one.sent = this->now;
-        engine& there = this->machines[which];
+        engine& there = this->engine_states[which];
         there.queue.emplace(one.level, index);
         one.now = call::stage::queued;
         this->start_next(which);
@@ -290,13 +292,13 @@
             one.deadline(),
             [this, index]
             {
-                this->cut(index);
+                this->cancel_at_deadline(index);
             });
     }
 
     void start_next(std::size_t which)
     {
-        engine& there = this->machines[which];
+        engine& there = this->engine_states[which];
         while (there.running < this->setup.slots && !there.queue.empty())
         {
             const std::size_t index = there.queue.begin()->second;
@@ -321,12 +323,12 @@
         {
             return;
         }
-        this->note_answer(one);
+        this->record_answer(one);
         this->end(one, attempt_result::end::answered);
     }
 
-    /// The deadline passed while it was at its engine.
-    void cut(std::size_t index)
+    /// Cancels the call if it is still at its engine at its deadline.
+    void cancel_at_deadline(std::size_t index)
     {
         call& one = this->calls[index];
         if (one.now == call::stage::ended)
@@ -334,7 +336,7 @@
             return;
         }
         this->cut_count += this->counts(one) ? 1 : 0;
-        this->machines[one.engine].queue.erase({one.level, index});
+        this->engine_states[one.engine].queue.erase({one.level, index});
         this->end(one, attempt_result::end::no_progress);
     }
 
@@ -349,11 +351,11 @@
         result.total = this->now - one.sent;
         result.first_byte =
             result.answer_started ? byte - one.sent : duration::zero();
-        this->machines[one.engine].running -= ran ? 1 : 0;
+        this->engine_states[one.engine].running -= ran ? 1 : 0;
         one.now = call::stage::ended;
         this->routers[one.router].finished(one.id, result, this->now);
         this->start_next(one.engine);
-        this->carry_out(one.router);
+        this->process_commands(one.router);
     }
 
     void refused(std::size_t index, const refusal& no)
@@ -364,12 +366,12 @@
         {
             return;
         }
-        this->late += this->now > one.deadline() ? 1 : 0;
+        this->refused_late_count += this->now > one.deadline() ? 1 : 0;
         this->cut_count += no.outcome == verdict::not_run ? 0 : 1;
         this->urgent_refusals += one.level == priority::urgent ? 1 : 0;
     }
 
-    void note_answer(const call& one)
+    void record_answer(const call& one)
     {
         if (!this->counts(one))
         {
@@ -379,7 +381,7 @@
         ++this->timely[one.router][level];
         if (one.level == priority::urgent)
         {
-            this->urgent.push_back(one.started + first_byte - one.at);
+            this->urgent_latencies.push_back(one.started + first_byte - one.at);
         }
     }
 
@@ -387,7 +389,7 @@
     {
         const auto part = this->setup.head_start *
                           static_cast<double>(this->setup.length.count());
-        return beginning + duration(static_cast<duration::rep>(part));
+        return start_time + duration(static_cast<duration::rep>(part));
     }
 
     bool counts(const call& one) const
@@ -399,7 +401,7 @@
     {
         shared_engines_result out;
         const duration counted =
-            beginning + this->setup.length - this->counted_from();
+            start_time + this->setup.length - this->counted_from();
         double all = 0;
         double urgent_timely = 0;
         double urgent_asked = 0;
@@ -418,13 +420,15 @@
         out.urgent_timely = urgent_timely / urgent_asked;
         out.urgent_refused = this->urgent_refusals;
         out.cut = this->cut_count;
-        out.refused_late = this->late;
+        out.refused_late = this->refused_late_count;
         out.engine_waiting =
             this->waiting_sum / std::max(1.0, this->waiting_samples);
-        if (!this->urgent.empty())
+        if (!this->urgent_latencies.empty())
         {
-            std::sort(this->urgent.begin(), this->urgent.end());
-            const duration p99 = this->urgent[this->urgent.size() * 99 / 100];
+            std::sort(
+                this->urgent_latencies.begin(), this->urgent_latencies.end());
+            const duration p99 = this->urgent_latencies
+                                     [this->urgent_latencies.size() * 99 / 100];
             out.urgent_p99_ms = static_cast<double>(p99.count()) / 1000;
         }
         return out;
@@ -444,18 +448,18 @@
 
     shared_engines_setup setup;
     std::vector<dispatcher> routers;
-    std::vector<engine> machines;
+    std::vector<engine> engine_states;
     std::vector<call> calls;
     std::vector<std::map<ticket, std::size_t>> indices;
     std::map<std::pair<instant, std::uint64_t>, std::function<void()>> events;
     std::uint64_t event_count = 0;
-    instant now = beginning;
+    instant now = start_time;
 
     std::vector<std::array<double, 3>> timely;
-    std::vector<duration> urgent;
+    std::vector<duration> urgent_latencies;
     std::size_t urgent_refusals = 0;
     std::size_t cut_count = 0;
-    std::size_t late = 0;
+    std::size_t refused_late_count = 0;
     double waiting_sum = 0;
     double waiting_samples = 0;
 };
--- a/bench/dispatch/shared_engines.hpp
+++ b/bench/dispatch/shared_engines.hpp
@@ -8,46 +8,48 @@
 namespace roseworks::bench
 {
 
-/// Routers that share engines, and what is asked of them.
+/// Routers that share engines, and their load.
 struct shared_engines_setup
 {
     std::size_t routers = 2;
     std::size_t engines = 2;
     std::uint16_t slots = 8; ///< of each engine
-    double load = 4;         ///< arrivals as a multiple of all slots' rate
-    /// Part of the length for which only the first router gets calls.
+    double load = 4;         ///< arrivals as a multiple of the capacity
+    /// Fraction of the length in which only the first router gets calls.
     double head_start = 0;
     duration length = std::chrono::seconds(60);
-    /// Answers take so much more or less than the mean, evenly spread.
+    /// Maximum deviation of the service time from its mean; uniform.
     duration spread{};
-    /// Between two reads of an engine by the router that holds it, and by
-    /// another.
-    duration held_interval = std::chrono::milliseconds(500);
-    duration foreign_interval = std::chrono::seconds(10);
+    /// Time between two reads of an engine's load, by the router that owns the
+    /// engine and by the others.
+    duration owner_interval = std::chrono::milliseconds(500);
+    duration other_interval = std::chrono::seconds(10);
     std::uint64_t seed = 42;
 };
 
-/// What the callers saw; only calls that came after the head start count.
+/// The outcome of the calls that arrived after the head start.
 struct shared_engines_result
 {
-    double goodput = 0;       ///< whole answers that began in time, 1/s
-    double urgent_p99_ms = 0; ///< from arrival to first byte, those answered
-    double urgent_timely = 0; ///< part of the urgent ones
-    double least_urgent_timely = 0; ///< the same at the router worst off
+    double goodput = 0;       ///< complete answers that began in time, 1/s
+    double urgent_p99_ms = 0; ///< from arrival to first byte, if answered
+    double urgent_timely = 0; ///< fraction of the urgent calls
+    double least_urgent_timely = 0; ///< the same, at the worst router
     std::size_t urgent_refused = 0; ///< refused as not run
-    std::size_t cut = 0; ///< neither answered whole nor refused as not run
-    std::size_t refused_late = 0;
-    double engine_waiting = 0; ///< mean length of an engine's own queue
+    std::size_t cut = 0; ///< neither answered in full nor refused as not run
+    std::size_t refused_late = 0; ///< refused after their deadline
+    double engine_waiting = 0;    ///< mean length of an engine's own queue
 };
 
-/** Simulate dispatchers that share engines and see each other's work late.
+/** Simulates dispatchers that share engines and learn of each other's load with
+    a delay.
 
-    On a virtual clock, without I/O: every answer takes 16 tokens of 10 ms on
-    one of the engine's slots; what finds none free waits in the engine's own
-    queue, best class first. A tenth of the calls are urgent with 0.5 s, three
-    tenths normal with 2 s, the rest batch with 6 s, and each is cut at its
-    deadline wherever it is. Each engine is held by one router, which reads its
-    load the most often.
+    The simulation has a virtual clock and no I/O. Every answer takes 16 tokens
+    of 10 ms on one slot of an engine. A call that finds no free slot waits in
+    the engine's own queue, in order of priority. 10% of the calls are urgent
+    with a deadline of 0.5 s, 30% are normal with 2 s, and the others are batch
+    calls with 6 s. Each call is cancelled at its deadline, whether it is queued
+    or running. Each engine is owned by one router, which reads its load more
+    often than the others do.
 */
 shared_engines_result run_shared_engines(const shared_engines_setup& setup);
 
--- a/bench/membership/bench_membership.cpp
+++ b/bench/membership/bench_membership.cpp
@@ -1,8 +1,9 @@
-/** Control traffic between routers against their number: real UDP sockets on
-    loopback, all in one process, at the default probe interval of 1 s.
+/** Measures the control traffic between routers for several fleet sizes. All
+    routers run in one process, with UDP sockets on loopback and the default
+    probe interval of 1 s.
 
-    Prints per router: datagrams/s, bytes/s, processor time and, once one
-    router falls silent, the time until every other one has given it up.
+    Prints for each router: datagrams/s, bytes/s and CPU time. Then stops one
+    router and prints the time until all others have detected this.
 */
 #include "adapters/peers/udp_peers.hpp"
 
@@ -23,8 +24,8 @@
 
 namespace asio = boost::asio;
 
-constexpr auto settle_time = std::chrono::seconds(3);
-constexpr auto measured_time = std::chrono::seconds(6);
+constexpr auto warm_up_time = std::chrono::seconds(3);
+constexpr auto measurement_time = std::chrono::seconds(6);
 constexpr auto detection_limit = std::chrono::seconds(40);
 
 class real_clock : public clock_port
@@ -42,7 +43,7 @@
     }
 };
 
-class silent_sink : public event_sink
+class null_sink : public event_sink
 {
 public:
     void emit(const event_record& /*record*/) noexcept override {}
@@ -62,7 +63,7 @@
     std::size_t alive = 0;
 };
 
-/// A fleet of peers in this process.
+/// All routers of the fleet, in this process.
 class fleet
 {
 public:
@@ -82,7 +83,7 @@
                 this->clock,
                 this->events));
         }
-        this->introduce();
+        this->start_all();
     }
 
     void run_for(std::chrono::steady_clock::duration time)
@@ -90,12 +91,13 @@
         this->context.run_for(time);
     }
 
-    /// @return Seconds until all others gave the last router up.
+    /// Stops the last router.
+    /// @return Seconds until all others take it for dead.
     double time_to_detect()
     {
         const auto start = std::chrono::steady_clock::now();
         this->nodes.back()->stop();
-        const auto all_know = [&]
+        const auto all_detected = [&]
         {
             for (std::size_t i = 0; i + 1 < this->listeners.size(); ++i)
             {
@@ -104,15 +106,15 @@
             }
             return true;
         };
-        while (!all_know() &&
+        while (!all_detected() &&
                std::chrono::steady_clock::now() - start < detection_limit)
             this->context.run_for(std::chrono::milliseconds(50));
-        const std::chrono::duration<double> taken =
+        const std::chrono::duration<double> elapsed =
             std::chrono::steady_clock::now() - start;
-        return taken.count();
+        return elapsed.count();
     }
 
-    /// What all nodes moved since their start.
+    /// The traffic of all nodes since their start.
     struct traffic_sum
     {
         std::uint64_t datagrams_sent = 0;
@@ -133,7 +135,7 @@
     }
 
 private:
-    void introduce()
+    void start_all()
     {
         std::vector<peer_session> list;
         for (std::size_t i = 0; i < this->nodes.size(); ++i)
@@ -150,7 +152,7 @@
 
     asio::io_context context;
     real_clock clock;
-    silent_sink events;
+    null_sink events;
     std::vector<alive_counter> listeners;
     std::vector<std::unique_ptr<udp_peers>> nodes;
 };
@@ -169,13 +171,14 @@
 void measure(std::size_t routers)
 {
     fleet nodes(routers);
-    nodes.run_for(settle_time);
+    nodes.run_for(warm_up_time);
     const auto before = nodes.total();
     const double cpu_before = cpu_seconds();
-    nodes.run_for(measured_time);
+    nodes.run_for(measurement_time);
     const double cpu = cpu_seconds() - cpu_before;
     const auto after = nodes.total();
-    const double seconds = std::chrono::duration<double>(measured_time).count();
+    const double seconds =
+        std::chrono::duration<double>(measurement_time).count();
     const double scale = seconds * static_cast<double>(routers);
     const auto datagrams =
         static_cast<double>(after.datagrams_sent - before.datagrams_sent);
