--- a/tests/unit/dissemination/test_copy_choice.cpp
+++ b/tests/unit/dissemination/test_copy_choice.cpp
@@ -29,93 +29,92 @@
 
 } // namespace
 
-Test(copy_choice, who_knows_of_no_other_reads_the_store)
+Test(copy_choice, a_router_without_known_peers_reads_the_store)
 {
-    copy_choice choice({});
-    cr_assert(choice.reads_first());
-    cr_assert(!choice.next());
-    choice.routers_listed(router(1), {router(1)});
-    cr_assert(choice.reads_first());
-    cr_assert(!choice.next());
+    copy_choice selector({});
+    cr_assert(selector.reads_first());
+    cr_assert(!selector.next());
+    selector.routers_listed(router(1), {router(1)});
+    cr_assert(selector.reads_first());
+    cr_assert(!selector.next());
 }
 
-/// After a start of all, three hundred listings of the registry kept the store
-/// too busy for any other read.
-Test(copy_choice, of_all_routers_four_read_the_store_first)
+/// After a common start, 300 listings of the registry kept the store too busy
+/// for any other read.
+Test(copy_choice, four_of_all_routers_read_the_store_first)
 {
     for (const int count : {7, 65, 300, 1000})
     {
         int first = 0;
         for (const copy_holder& self : routers(count, 0))
         {
-            copy_choice choice({});
-            choice.routers_listed(self, routers(count, 0));
-            first += choice.reads_first() ? 1 : 0;
+            copy_choice selector({});
+            selector.routers_listed(self, routers(count, 0));
+            first += selector.reads_first() ? 1 : 0;
         }
         cr_assert_eq(first, 4);
     }
 }
 
-Test(copy_choice, the_strongest_read_first_and_are_asked)
+Test(copy_choice, routers_of_highest_capacity_read_first_and_are_asked)
 {
-    copy_choice choice({});
-    choice.routers_listed(router(60), routers(65, 3));
-    cr_assert(!choice.reads_first());
+    copy_choice selector({});
+    selector.routers_listed(router(60), routers(65, 3));
+    cr_assert(!selector.reads_first());
     std::set<std::string> asked;
     for (int i = 0; i < 40; ++i)
-        asked.insert(*choice.next());
+        asked.insert(*selector.next());
     for (const char* strong : {"r0", "r1", "r2"})
         cr_assert(asked.contains(std::string("address-of-") + strong));
 }
 
-/// The few that read first may all be gone.
-Test(copy_choice, anybody_may_be_asked_but_not_oneself)
+/// The first readers may all be gone.
+Test(copy_choice, every_other_router_may_be_asked)
 {
-    copy_choice choice({});
-    choice.routers_listed(router(6), routers(7, 0));
+    copy_choice selector({});
+    selector.routers_listed(router(6), routers(7, 0));
     std::set<std::string> asked;
     for (int i = 0; i < 400; ++i)
-        asked.insert(*choice.next());
+        asked.insert(*selector.next());
     cr_assert_eq(asked.size(), 6);
     cr_assert(!asked.contains("address-of-r6"));
 }
 
-/// A start of three hundred routers cost more for bytes between data centres
-/// than all else.
+/// Traffic between data centres was the largest cost of a start of 300 routers.
 Test(copy_choice, routers_of_its_data_centre_are_asked_before_others)
 {
     std::vector<copy_holder> all = routers(60, 0);
     for (std::size_t i = 0; i < all.size(); ++i)
         all[i].data_centre = i < 30 ? "a" : "b";
-    copy_choice choice({});
-    choice.routers_listed(all[40], all);
-    int far = 0;
+    copy_choice selector({});
+    selector.routers_listed(all[40], all);
+    int remote_requests = 0;
     for (int i = 0; i < 40; ++i)
     {
-        const std::string asked = *choice.next();
+        const std::string asked = *selector.next();
         for (std::size_t j = 0; j < 30; ++j)
-            far += asked == all[j].address ? 1 : 0;
+            remote_requests += asked == all[j].address ? 1 : 0;
     }
-    cr_assert_leq(far, 10);
-    cr_assert_gt(far, 0);
+    cr_assert_leq(remote_requests, 10);
+    cr_assert_gt(remote_requests, 0);
 }
 
-Test(copy_choice, alone_in_its_data_centre_a_router_reads_first)
+Test(copy_choice, the_only_router_of_a_data_centre_reads_first)
 {
     std::vector<copy_holder> all = routers(7, 0);
     all[6].data_centre = "b";
-    copy_choice choice({});
-    choice.routers_listed(all[6], all);
-    cr_assert(choice.reads_first());
-    cr_assert(choice.next().has_value());
+    copy_choice selector({});
+    selector.routers_listed(all[6], all);
+    cr_assert(selector.reads_first());
+    cr_assert(selector.next().has_value());
 }
 
-Test(copy_choice, after_its_patience_a_router_reads_the_store_itself)
+Test(copy_choice, a_router_without_a_copy_reads_the_store_after_a_delay)
 {
-    copy_choice choice({.patience = 500ms});
+    copy_choice selector({.patience = 500ms});
     const instant since{10s};
-    cr_assert(!choice.is_patient(since, since));
-    choice.routers_listed(router(64), routers(65, 64));
-    cr_assert(choice.is_patient(since, since + 2s));
-    cr_assert(!choice.is_patient(since, since + 2500ms));
+    cr_assert(!selector.is_patient(since, since));
+    selector.routers_listed(router(64), routers(65, 64));
+    cr_assert(selector.is_patient(since, since + 2s));
+    cr_assert(!selector.is_patient(since, since + 2500ms));
 }
--- a/tests/unit/dissemination/test_copy_giver.cpp
+++ b/tests/unit/dissemination/test_copy_giver.cpp
@@ -20,10 +20,10 @@
     return made;
 }
 
-/// Knows a registry of two servers as of offset 10.
-struct giving_router
+/// A router that knows a registry of two servers as of offset 10.
+struct test_router
 {
-    giving_router()
+    test_router()
     {
         const server_entry listed[] = {server("a", 3), server("b", 4)};
         this->registry.listed(listed);
@@ -31,7 +31,7 @@
     }
 
     registry_changes registry;
-    copy_giver giver{this->registry};
+    copy_giver provider{this->registry};
     instant now{100s};
 };
 
@@ -44,62 +44,63 @@
 
 } // namespace
 
-Test(copy_giver, who_knows_nothing_gives_nothing)
+Test(copy_giver, a_router_without_data_makes_no_copy)
 {
-    giving_router test;
-    cr_assert_null(test.giver.give(whole_registry, {}, test.now).get());
+    test_router test;
+    cr_assert_null(test.provider.give(whole_registry, {}, test.now).get());
 }
 
-/// Made anew for each of three hundred, copies took the time in which they
-/// should have been sent.
-Test(copy_giver, a_whole_registry_is_made_once_for_all_that_ask_at_a_time)
+/// When a copy was made for each of 300 routers, making the copies took the
+/// time in which they should have been sent.
+Test(copy_giver, a_copy_of_the_whole_registry_is_reused_for_250_ms)
 {
-    giving_router test;
-    const auto first = test.giver.give(whole_registry, {10, 0}, test.now);
+    test_router test;
+    const auto first = test.provider.give(whole_registry, {10, 0}, test.now);
     const auto second =
-        test.giver.give(whole_registry, {12, 0}, test.now + 240ms);
+        test.provider.give(whole_registry, {12, 0}, test.now + 240ms);
     cr_assert_eq(first.get(), second.get());
     const auto third =
-        test.giver.give(whole_registry, {12, 0}, test.now + 250ms);
+        test.provider.give(whole_registry, {12, 0}, test.now + 250ms);
     cr_assert_neq(first.get(), third.get());
     cr_assert_eq(third->state.next, 12);
 }
 
-/// Younger than it is, it would put off the asker's own look at the store.
-Test(copy_giver, a_copy_is_never_younger_than_it_says)
+/// A copy that states a lower age than it has would delay the requester's own
+/// read of the store.
+Test(copy_giver, a_copy_is_never_older_than_its_stated_age)
 {
-    giving_router test;
-    const auto copy = test.giver.give(whole_registry, {10, 7000}, test.now);
+    test_router test;
+    const auto copy = test.provider.give(whole_registry, {10, 7000}, test.now);
     cr_assert_geq(copy->state.age_us, 7000 + duration(250ms).count());
 }
 
-Test(copy_giver, who_knows_some_gets_what_is_new)
+Test(copy_giver, a_requester_with_data_gets_only_the_changes)
 {
-    giving_router test;
+    test_router test;
     test.registry.read(server("c", 11));
-    const auto copy = test.giver.give(
+    const auto copy = test.provider.give(
         {directory_topic::registry, true, 10}, {12, 0}, test.now);
     cr_assert_not(copy->is_whole);
     cr_assert_eq(copy->servers.size(), 1);
-    const auto nothing = test.giver.give(
+    const auto nothing = test.provider.give(
         {directory_topic::registry, true, 12}, {12, 0}, test.now);
     cr_assert(nothing->servers.empty());
     cr_assert_eq(nothing->state.next, 12);
 }
 
-Test(copy_giver, a_configuration_is_given_to_who_lacks_it)
+Test(copy_giver, a_configuration_is_sent_only_if_it_is_newer)
 {
-    giving_router test;
-    test.giver.configuration_read("{}", 4);
-    const copy_ask lacking{directory_topic::deployment, true, 4};
-    const copy_ask knowing{directory_topic::deployment, true, 5};
+    test_router test;
+    test.provider.configuration_read("{}", 4);
+    const copy_ask without_it{directory_topic::deployment, true, 4};
+    const copy_ask with_it{directory_topic::deployment, true, 5};
     cr_assert_eq(
-        test.giver.give(lacking, {5, 0}, test.now)->configuration, "{}");
+        test.provider.give(without_it, {5, 0}, test.now)->configuration, "{}");
     cr_assert(
-        test.giver.give(knowing, {5, 0}, test.now)->configuration.empty());
+        test.provider.give(with_it, {5, 0}, test.now)->configuration.empty());
 }
 
-Test(directory_copy, one_older_than_what_is_known_is_of_no_use)
+Test(directory_copy, a_copy_older_than_the_state_is_ignored)
 {
     directory_copy copy = copy_up_to(5);
     copy.configuration = "{}";
@@ -110,7 +111,7 @@
     cr_assert(judge(copy, directory_topic::deployment, {}) == copy_use::none);
 }
 
-Test(directory_copy, one_as_far_as_what_is_known_confirms_it)
+Test(directory_copy, a_copy_with_the_same_offset_confirms_the_state)
 {
     const topic_state known{5, 0};
     for (const auto topic :
@@ -118,7 +119,7 @@
         cr_assert(judge(copy_up_to(5), topic, known) == copy_use::confirms);
 }
 
-Test(directory_copy, changes_are_of_use_to_who_knows_what_they_change)
+Test(directory_copy, changes_require_earlier_data)
 {
     directory_copy copy = copy_up_to(5);
     copy.is_whole = false;
@@ -127,7 +128,7 @@
     cr_assert(judge(copy, topic, {}) == copy_use::none);
 }
 
-Test(directory_copy, an_empty_one_brings_nobody_a_registry)
+Test(directory_copy, an_empty_copy_is_not_used_as_a_registry)
 {
     directory_copy copy = copy_up_to(5);
     const auto topic = directory_topic::registry;
--- a/tests/unit/dissemination/test_registry_changes.cpp
+++ b/tests/unit/dissemination/test_registry_changes.cpp
@@ -27,19 +27,19 @@
 
 } // namespace
 
-Test(registry_changes, heartbeats_and_copies_of_weights_are_not_told)
+Test(registry_changes, heartbeats_and_copies_of_weights_are_not_announced)
 {
     registry_changes changes;
     const server_entry first[] = {engine(1)};
     changes.listed(first);
-    server_entry beat = engine(7);
-    changes.read(beat);
-    beat.holdings.on_disk.emplace_back("m3");
-    changes.read(beat);
+    server_entry heartbeat = engine(7);
+    changes.read(heartbeat);
+    heartbeat.holdings.on_disk.emplace_back("m3");
+    changes.read(heartbeat);
     cr_assert(changes.take().empty());
 }
 
-Test(registry_changes, what_an_engine_holds_can_wait_and_is_told_once)
+Test(registry_changes, a_change_of_models_is_announced_once)
 {
     registry_changes changes;
     const server_entry first[] = {engine(1)};
@@ -49,16 +49,16 @@
     changes.read(loaded);
     changes.read(loaded);
     cr_assert(changes.only_models());
-    const auto told = changes.take();
-    cr_assert_eq(told.size(), 1);
-    cr_assert_eq(told[0].offset, 8);
-    cr_assert(told[0].what == registry_change::kind::models);
-    cr_assert(told[0].entry.holdings.on_disk.empty());
-    cr_assert(!told[0].entry.holdings.copies_known);
+    const auto announced = changes.take();
+    cr_assert_eq(announced.size(), 1);
+    cr_assert_eq(announced[0].offset, 8);
+    cr_assert(announced[0].what == registry_change::kind::models);
+    cr_assert(announced[0].entry.holdings.on_disk.empty());
+    cr_assert(!announced[0].entry.holdings.copies_known);
     cr_assert(changes.take().empty());
 }
 
-Test(registry_changes, of_each_server_only_the_last_change_is_told)
+Test(registry_changes, only_the_last_change_of_a_server_is_announced)
 {
     registry_changes changes;
     const server_entry first[] = {engine(1)};
@@ -70,48 +70,48 @@
     leaving.heard = 9;
     leaving.holdings.resident.clear();
     changes.read(leaving);
-    const auto told = changes.take();
-    cr_assert_eq(told.size(), 1);
-    cr_assert_eq(told[0].offset, 9);
-    cr_assert(told[0].what == registry_change::kind::whole);
-    cr_assert(told[0].entry.leaving);
+    const auto announced = changes.take();
+    cr_assert_eq(announced.size(), 1);
+    cr_assert_eq(announced[0].offset, 9);
+    cr_assert(announced[0].what == registry_change::kind::whole);
+    cr_assert(announced[0].entry.leaving);
     changes.removed("e1", 10);
     cr_assert(!changes.only_models());
     cr_assert(changes.take().at(0).what == registry_change::kind::gone);
 }
 
-/// A server that comes back after its entry was removed is told again.
-Test(registry_changes, a_removed_server_that_registers_again_is_news)
+/// A server that registers again after its removal has to be announced in full.
+Test(registry_changes, a_server_that_registers_again_is_announced)
 {
     registry_changes changes;
     const server_entry first[] = {engine(1)};
     changes.listed(first);
     changes.removed("e1", 5);
     changes.read(engine(6));
-    const auto told = changes.take();
-    cr_assert_eq(told.size(), 1);
-    cr_assert(told[0].what == registry_change::kind::whole);
+    const auto announced = changes.take();
+    cr_assert_eq(announced.size(), 1);
+    cr_assert(announced[0].what == registry_change::kind::whole);
 }
 
-/// Another router knows the same up to the offset at which a change begins.
-Test(registry_changes, what_was_told_makes_the_same_as_what_was_read)
+/// The receiver knows the same registry up to the offset of the change.
+Test(registry_changes, an_announced_change_gives_the_same_entry_as_a_read)
 {
     const server_entry first[] = {engine(1)};
     registry_changes reader;
-    registry_changes hearer;
+    registry_changes receiver;
     reader.listed(first);
-    hearer.listed(first);
+    receiver.listed(first);
     server_entry loaded = engine(8);
     loaded.holdings.resident = {{"m2", {"a1", "a4"}}, {"m3", {}}};
     reader.read(loaded);
     const auto changes = reader.take();
-    const auto heard = hearer.told(changes.at(0));
+    const auto heard = receiver.told(changes.at(0));
     cr_assert(heard.has_value());
     cr_assert_eq(heard->address, loaded.address);
     cr_assert_eq(heard->heard, 8);
     cr_assert(heard->holdings.resident == loaded.holdings.resident);
-    hearer.read(loaded);
-    cr_assert(hearer.take().empty());
+    receiver.read(loaded);
+    cr_assert(receiver.take().empty());
 }
 
 Test(registry_changes, models_of_an_unknown_engine_make_no_entry)
@@ -128,7 +128,7 @@
     cr_assert(unpack("").empty());
 }
 
-Test(directory_word, a_long_word_is_cut_without_a_gap)
+Test(directory_word, the_parts_of_a_split_update_leave_no_gap)
 {
     directory_word word;
     word.registry_from = 100;
@@ -157,7 +157,7 @@
     cr_assert_eq(changes, 7);
 }
 
-Test(directory_word, one_without_changes_stays_whole)
+Test(directory_word, an_update_without_changes_is_not_split)
 {
     directory_word word;
     word.registry_from = 7;
@@ -192,8 +192,9 @@
 
 } // namespace
 
-/// Another router asks for what it missed, and not for the whole registry.
-Test(registry_changes, what_changed_since_an_offset_is_given_with_removals)
+/// A router can request the changes that it missed instead of the whole
+/// registry.
+Test(registry_changes, changes_since_an_offset_include_removals)
 {
     registry_changes registry;
     const server_entry listed[] = {heard_at("a", 3), heard_at("b", 4)};
@@ -210,8 +211,9 @@
     cr_assert(registry.since(15).value().empty());
 }
 
-/// A removal that isn't known here would leave a dead server with the asker.
-Test(registry_changes, what_changed_before_the_listing_is_not_known)
+/// If a removal were missing from the changes, the requester would keep a
+/// server that no longer exists.
+Test(registry_changes, changes_before_the_listing_are_not_known)
 {
     registry_changes registry;
     const server_entry listed[] = {heard_at("a", 3)};
@@ -222,7 +224,7 @@
     cr_assert(registry.since(10));
 }
 
-Test(registry_changes, removals_are_forgotten_after_a_while)
+Test(registry_changes, only_the_last_removals_are_kept)
 {
     registry_changes registry;
     registry.listed({});
@@ -234,29 +236,30 @@
     cr_assert_eq(registry.since(many - 1).value().size(), 1);
 }
 
-/// Routers that had copied the registry could only give it whole again: three
-/// hundred gave it to each other time and again while it grew.
-Test(registry_changes, who_was_given_the_registry_can_tell_what_changed_in_it)
+/// Routers that had copied the registry could answer requests only with the
+/// whole registry. While it grew, 300 routers sent it to each other repeatedly.
+Test(registry_changes, a_router_that_copied_the_registry_knows_its_changes)
 {
-    registry_changes giver;
+    registry_changes sender;
     const server_entry listed[] = {heard_at("a", 3), heard_at("b", 4)};
-    giver.listed(listed);
-    giver.listed_as_of(10);
-    giver.removed("a", 12);
-    giver.read(heard_at("c", 14));
-    registry_changes taker;
+    sender.listed(listed);
+    sender.listed_as_of(10);
+    sender.removed("a", 12);
+    sender.read(heard_at("c", 14));
+    registry_changes copier;
     const server_entry copied[] = {heard_at("b", 4), heard_at("c", 14)};
-    taker.listed(copied);
-    taker.remember(giver.remembered_from().value(), giver.all());
-    taker.listed_as_of(15);
+    copier.listed(copied);
+    copier.remember(sender.remembered_from().value(), sender.all());
+    copier.listed_as_of(15);
     const std::vector<std::string> changed{"-a", "c"};
-    cr_assert(ids_of(taker.since(10).value()) == changed);
-    cr_assert(!taker.since(9));
+    cr_assert(ids_of(copier.since(10).value()) == changed);
+    cr_assert(!copier.since(9));
 }
 
-/// A word that accounts for an offset leaves out no change since it: what was
-/// read before a listing is gone from what can be told.
-Test(registry_changes, after_a_listing_nothing_read_before_it_is_untold)
+/// An update must include all changes since the offset from which it announces.
+/// A listing discards the changes that were read before it, so they must not be
+/// announced as complete.
+Test(registry_changes, a_listing_discards_the_changes_read_before_it)
 {
     registry_changes registry;
     registry.listed({});
@@ -273,7 +276,7 @@
     cr_assert(!registry.untold_from());
 }
 
-Test(registry_changes, a_removal_that_was_told_can_be_told_on)
+Test(registry_changes, an_announced_removal_can_be_passed_on)
 {
     registry_changes registry;
     const server_entry listed[] = {heard_at("a", 3)};
--- a/tests/unit/dissemination/test_topic_progress.cpp
+++ b/tests/unit/dissemination/test_topic_progress.cpp
@@ -12,7 +12,7 @@
 
 const instant start{std::chrono::seconds(100)};
 
-/// Has read up to offset 50 at the start.
+/// A router that has read up to offset 50 at `start`.
 topic_progress reader(duration rest = duration::zero())
 {
     topic_progress made({900ms, rest});
@@ -22,7 +22,7 @@
 
 } // namespace
 
-Test(topic_progress, before_the_first_read_nothing_told_counts)
+Test(topic_progress, announcements_before_the_first_read_are_ignored)
 {
     topic_progress progress({900ms, 0ms});
     cr_assert(!progress.heard(0, 10, start));
@@ -30,7 +30,7 @@
     cr_assert(progress.due() <= start);
 }
 
-Test(topic_progress, without_words_it_reads_when_its_knowledge_is_old)
+Test(topic_progress, without_announcements_it_reads_when_its_data_is_old)
 {
     topic_progress progress = reader();
     cr_assert(progress.due() == start + 900ms);
@@ -38,8 +38,8 @@
     cr_assert(progress.due() == start + 1805ms);
 }
 
-/// Three hundred routers that each read the store asked it 530 times a second.
-Test(topic_progress, who_hears_the_reader_never_reads)
+/// 300 routers that each read the store sent it 530 requests a second.
+Test(topic_progress, a_router_that_receives_all_announcements_never_reads)
 {
     topic_progress progress = reader();
     std::uint64_t next = 50;
@@ -54,7 +54,7 @@
     cr_assert_eq(progress.next().value(), next);
 }
 
-Test(topic_progress, a_word_that_was_lost_leaves_a_gap_which_is_read_at_once)
+Test(topic_progress, a_gap_after_a_lost_announcement_is_read_at_once)
 {
     topic_progress progress = reader();
     cr_assert(!progress.heard(60, 70, start + 300ms));
@@ -66,8 +66,9 @@
     cr_assert(progress.due() == start + 310ms + 900ms);
 }
 
-/// Configurations that come ten a second are read together.
-Test(topic_progress, news_in_quick_succession_is_read_together)
+/// Several configurations that are announced within one second are read
+/// together, even at ten a second.
+Test(topic_progress, changes_in_quick_succession_are_read_together)
 {
     topic_progress progress = reader(700ms);
     cr_assert(!progress.heard(51, 51, start + 100ms));
@@ -76,8 +77,8 @@
     cr_assert(progress.due() == start + 700ms);
 }
 
-/// After its own read a router knows more than the last word accounts for.
-Test(topic_progress, a_word_that_overlaps_gives_what_is_new)
+/// After a read of its own, a router knows more than the last announcement.
+Test(topic_progress, only_the_new_part_of_an_overlapping_announcement_counts)
 {
     topic_progress progress = reader();
     const auto first = progress.heard(30, 60, start + 10ms);
@@ -85,30 +86,31 @@
     cr_assert_eq(progress.next().value(), 60);
 }
 
-Test(topic_progress, a_teller_that_knows_less_vouches_for_nothing)
+Test(topic_progress, an_announcement_from_a_router_that_is_behind_is_ignored)
 {
     topic_progress progress = reader();
     cr_assert(!progress.heard(10, 40, start + 800ms));
     cr_assert(progress.due() == start + 900ms);
 }
 
-Test(topic_progress, one_that_knows_the_same_vouches_for_its_time)
+Test(topic_progress, an_announcement_of_the_same_offset_refreshes_the_data)
 {
     topic_progress progress = reader();
     cr_assert(!progress.heard(50, 50, start + 800ms));
     cr_assert(progress.due() == start + 1700ms);
 }
 
-/// The reader was cut off from the store: it goes on talking, and what it says
-/// grows old.
-Test(topic_progress, an_old_word_delays_nothing)
+/// A sender that is disconnected from the store goes on announcing data of
+/// growing age.
+Test(topic_progress, an_old_announcement_does_not_delay_the_next_read)
 {
     topic_progress progress = reader();
     cr_assert(!progress.heard(50, 50, start - 5s));
     cr_assert(progress.due() == start + 900ms);
 }
 
-/// A store that lags behind what was told isn't asked without a pause.
+/// A store that lags behind the announcements must not be read over and over
+/// without a pause.
 Test(topic_progress, a_read_that_gives_less_than_announced_is_not_repeated)
 {
     topic_progress progress = reader();
@@ -118,9 +120,9 @@
     cr_assert(progress.due() == start + 310ms + 900ms);
 }
 
-/// A copy of a router that was behind, too, ended the search for what all
-/// others had.
-Test(topic_progress, what_a_copy_lacks_is_still_missing)
+/// A copy from a router that was behind, too, ended the search for changes that
+/// all other routers had.
+Test(topic_progress, announced_changes_not_in_a_copy_are_still_missing)
 {
     topic_progress progress = reader();
     cr_assert(!progress.heard(60, 70, start + 100ms));
--- a/tests/unit/late_configuration/test_late_configuration.cpp
+++ b/tests/unit/late_configuration/test_late_configuration.cpp
@@ -45,14 +45,13 @@
            (has_more ? "true" : "false") + "}";
 }
 
-/// End and first offset, and no record.
+/// An answer with the end and first offset and no records.
 std::string nothing_new()
 {
     return std::string(16, '\0');
 }
 
-/// Gives the answers it was told to give, one after the other; keeps what was
-/// asked.
+/// Returns scripted answers in order and records the requests.
 class scripted_store
 {
 public:
@@ -62,7 +61,7 @@
         this->answers.push_back(http(status, body));
     }
 
-    std::vector<std::string> asked()
+    std::vector<std::string> requests()
     {
         const std::scoped_lock lock(this->mutex);
         return this->calls;
@@ -105,14 +104,14 @@
     fake_backend server{[this](backend_peer& peer)
                         {
                             this->serve(peer);
-                        }}; ///< last: its threads use the others
+                        }}; ///< declared last: its threads use the others
 };
 
-/// A tail that doesn't read again by itself, and waits an hour after a call
-/// that failed.
-struct patient_tail
+/// A tail that does not read periodically, and by default waits an hour after a
+/// failed call.
+struct tail_fixture
 {
-    explicit patient_tail(
+    explicit tail_fixture(
         std::chrono::milliseconds retry = std::chrono::hours(1))
         : client(
               this->loop.get_executor(),
@@ -137,7 +136,7 @@
     {
     }
 
-    ~patient_tail()
+    ~tail_fixture()
     {
         this->tail.stop();
         this->loop.poll();
@@ -158,7 +157,8 @@
         asio::co_spawn(this->loop, this->tail.run(), asio::detached);
     }
 
-    /// @return Whether it was so before the test would hang.
+    /// Runs the event loop until a condition holds, or for 20 s at most.
+    /// @return Whether the condition holds.
     template <class Reached>
     bool run_until(Reached reached)
     {
@@ -174,7 +174,7 @@
         return this->run_until(
             [&]
             {
-                return this->store.asked().size() >= count;
+                return this->store.requests().size() >= count;
             });
     }
 
@@ -197,8 +197,8 @@
     keyed_tail tail;
 };
 
-/// Sends an answer in pieces that together take longer than a call may take
-/// without a byte.
+/// Sends an answer in pieces. In total this takes longer than a call may go
+/// without receiving a byte.
 asio::awaitable<void>
 send_slowly(asio::ip::tcp::acceptor& acceptor, std::string_view whole)
 {
@@ -218,13 +218,13 @@
     }
 }
 
-/// Nobody has read the store for a minute.
+/// A copy from a router that last read the store a minute ago.
 asio::awaitable<topic_state> old_copy()
 {
     co_return topic_state{9, duration(1min).count()};
 }
 
-/// The router becomes the owner while a copy comes.
+/// The router becomes the owner while it receives a copy.
 asio::awaitable<topic_state> copy_for_new_owner(keyed_tail& tail)
 {
     tail.lead(true);
@@ -232,7 +232,7 @@
     co_return topic_state{9, 10};
 }
 
-/// It has owned for a moment when a copy comes.
+/// The router becomes the owner and loses ownership while it receives a copy.
 asio::awaitable<topic_state> copy_for_former_owner(keyed_tail& tail)
 {
     tail.lead(true);
@@ -241,17 +241,17 @@
     co_return topic_state{9, 10};
 }
 
-/// A tail that is given copies: a test says which, and starts it.
-struct copying_tail
+/// A tail that receives copies. The test sets the handlers and starts it.
+struct copying_tail_fixture
 {
-    explicit copying_tail(std::chrono::milliseconds retry)
-        : settings(patient_tail::settings(retry))
+    explicit copying_tail_fixture(std::chrono::milliseconds retry)
+        : settings(tail_fixture::settings(retry))
         , client(
               this->loop.get_executor(),
               *platform::parse_endpoint(this->store.address()),
               store_client::options(),
               this->meter)
-        , told{
+        , tail_handlers{
               [this](const std::vector<keyed_record>& all)
               {
                   for (const keyed_record& record : all)
@@ -265,7 +265,7 @@
         this->settings.most_age = 1s;
     }
 
-    ~copying_tail()
+    ~copying_tail_fixture()
     {
         this->tail->stop();
         this->loop.poll();
@@ -284,12 +284,12 @@
             this->clock,
             this->client,
             this->settings,
-            this->told);
+            this->tail_handlers);
         asio::co_spawn(this->loop, this->tail->run(), asio::detached);
     }
 
-    /// More than a call and what follows it take.
-    void run_turns()
+    /// Runs the event loop for longer than a call and its follow-up take.
+    void run_for_a_while()
     {
         for (int i = 0; i < 60; ++i)
             this->loop.run_one_for(std::chrono::milliseconds(10));
@@ -310,32 +310,35 @@
     const platform::system_clock clock;
     keyed_tail::options settings;
     store_client client;
-    keyed_tail::handlers told;
+    keyed_tail::handlers tail_handlers;
     std::vector<std::string> listed;
     std::optional<keyed_tail> tail;
 };
 
 } // namespace
 
-/// After a cut the store said that the history was dropped; the pause that the
-/// cut had earned was waited for once more.
-Test(late_configuration, a_history_that_was_dropped_is_no_lost_store)
+/// After a disconnection the store answered that the history was trimmed. The
+/// tail took this for another failure and waited for the retry pause again.
+Test(late_configuration, a_trimmed_history_is_not_a_store_failure)
 {
-    patient_tail test;
+    tail_fixture test;
     test.store.will_answer(200, listing("a", false));
     test.store.will_answer(410, "{}");
     test.store.will_answer(200, listing("b", false));
     test.start();
     cr_assert(test.run_until_listed({"a"}));
     cr_assert(!test.tail.heard(5, {5, 10}));
-    cr_assert(test.run_until_listed({"a", "b"}), "the listing waits");
+    cr_assert(
+        test.run_until_listed({"a", "b"}),
+        "the listing waited for the retry pause");
     cr_assert_eq(test.failures, 0);
 }
 
-/// A router that was cut off heard of a configuration and waited on.
-Test(late_configuration, a_word_of_news_ends_the_pause_after_a_failure)
+/// A router that had been disconnected received an announcement of a newer
+/// configuration, but still waited for the end of its retry pause.
+Test(late_configuration, an_announcement_ends_the_pause_after_a_failure)
 {
-    patient_tail test;
+    tail_fixture test;
     test.store.will_answer(200, listing("a", false));
     test.store.will_answer(503, "");
     test.store.will_answer(200, nothing_new());
@@ -348,35 +351,37 @@
             return test.failures == 1;
         }));
     cr_assert(!test.tail.heard(6, {6, 10}));
-    cr_assert(test.run_until_calls(3), "the news waits for the pause");
+    cr_assert(
+        test.run_until_calls(3),
+        "the announced configuration was not read before the retry pause");
 }
 
-/// Three hundred routers that began three thousand entries again at each page
-/// that failed kept the store too busy to answer one of them.
-Test(late_configuration, a_listing_goes_on_at_the_page_that_failed)
+/// When a page of a listing failed, 300 routers started their listings of 3000
+/// entries over. This kept the store too busy to answer any of them.
+Test(late_configuration, a_listing_resumes_at_the_page_that_failed)
 {
-    patient_tail test(std::chrono::milliseconds(1));
+    tail_fixture test(std::chrono::milliseconds(1));
     test.store.will_answer(200, listing("a", true));
     test.store.will_answer(503, "");
     test.store.will_answer(200, listing("b", false));
     test.start();
     cr_assert(test.run_until_listed({"a", "b"}));
-    cr_assert_eq(test.store.asked().size(), 3);
-    cr_assert(test.store.asked()[2].ends_with("&after=a"));
+    cr_assert_eq(test.store.requests().size(), 3);
+    cr_assert(test.store.requests()[2].ends_with("&after=a"));
 }
 
-/// A router became the owner while a copy was on its way to it: without the
-/// copies of weights on engines' disks, which routers don't tell each other, it
-/// found no engine to load from for as long as it owned.
-Test(late_configuration, an_owner_that_was_given_a_copy_lists_what_it_lacks)
+/// A router became the owner while a copy was in transit to it. Copies between
+/// routers do not list the weights on the engines' disks, so the new owner
+/// found no engine to load models from during its whole tenure.
+Test(late_configuration, an_owner_lists_the_store_after_receiving_a_copy)
 {
-    copying_tail test(std::chrono::hours(1));
+    copying_tail_fixture test(std::chrono::hours(1));
     test.store.will_answer(200, listing("a", false));
-    test.told.asks_others = [](instant)
+    test.tail_handlers.asks_others = [](instant)
     {
         return true;
     };
-    test.told.copy = [&]
+    test.tail_handlers.copy = [&]
     {
         return copy_for_new_owner(*test.tail);
     };
@@ -384,41 +389,42 @@
     cr_assert(test.run_until_listed({"a"}));
 }
 
-/// A router lost ownership before the listing that its tenure had begun with
-/// was done, and then took copies and asked the store without a pause.
-Test(late_configuration, who_no_longer_owns_goes_by_copies)
+/// A router lost ownership before the first listing of its tenure was complete.
+/// It then requested copies and read the store in a loop without a pause.
+Test(late_configuration, a_former_owner_relies_on_copies)
 {
-    copying_tail test(std::chrono::hours(1));
+    copying_tail_fixture test(std::chrono::hours(1));
     test.refuse_all();
     int copies = 0;
-    test.told.copy = [&]
+    test.tail_handlers.copy = [&]
     {
         ++copies;
         return copy_for_former_owner(*test.tail);
     };
     test.start();
-    test.run_turns();
+    test.run_for_a_while();
     cr_assert_eq(copies, 1);
-    cr_assert_eq(test.store.asked().size(), 1);
+    cr_assert_eq(test.store.requests().size(), 1);
 }
 
-/// While the store was down for all, each router asked it and then another
-/// router, which knew no more, without a pause.
-Test(late_configuration, a_copy_as_old_as_what_is_known_ends_no_pause)
+/// While the store was down for all routers, each of them called the store and
+/// then another router, which had no newer data, in a loop without a pause.
+Test(late_configuration, a_copy_without_newer_data_does_not_end_the_pause)
 {
-    copying_tail test(std::chrono::hours(1));
+    copying_tail_fixture test(std::chrono::hours(1));
     test.refuse_all();
-    test.told.copy = old_copy;
+    test.tail_handlers.copy = old_copy;
     test.start();
-    test.run_turns();
-    cr_assert_eq(test.store.asked().size(), 1);
+    test.run_for_a_while();
+    cr_assert_eq(test.store.requests().size(), 1);
 }
 
-/// Through a link of 10 Mbit/s a page took longer than a call might; it was
-/// begun again from nothing, for good.
-Test(late_configuration, an_answer_that_takes_long_and_goes_on_is_read_whole)
+/// Over a link of 10 Mbit/s a page took longer than the time limit of a call,
+/// so it was requested again from its start, without end.
+Test(late_configuration, a_slow_answer_that_makes_progress_is_read_completely)
 {
-    // A server on the client's own loop: what holds one up holds up both.
+    // The server runs on the event loop of the client, so that a delay of one
+    // delays the other, too.
     const std::string whole = http(200, listing("a", false));
     asio::io_context loop;
     asio::ip::tcp::acceptor acceptor(
--- a/tests/unit/membership/membership_test.cpp
+++ b/tests/unit/membership/membership_test.cpp
@@ -18,8 +18,8 @@
 namespace
 {
 
-/// Datagrams between membership cores in virtual time; all arrive at once
-/// unless the receiver is cut off.
+/// Delivers datagrams between `membership` objects in virtual time. All arrive
+/// without delay unless the sender or the receiver is disconnected.
 class fake_network
 {
 public:
@@ -44,7 +44,7 @@
             this->now += 100ms;
             for (auto& [id, node] : this->nodes)
             {
-                if (!this->cut.contains(id))
+                if (!this->disconnected.contains(id))
                     node.tick(this->now);
             }
             this->deliver();
@@ -60,16 +60,17 @@
             for (auto& [id, node] : this->nodes)
             {
                 for (const auto& item : node.take_outgoing())
-                    again = this->pass_on(id, item) || again;
+                    again = this->forward(id, item) || again;
             }
         }
     }
 
-    bool pass_on(std::uint64_t from, const membership::outgoing& item)
+    bool forward(std::uint64_t from, const membership::outgoing& item)
     {
         ++this->datagrams;
         const std::uint64_t to = std::stoull(item.address);
-        if (this->cut.contains(from) || this->cut.contains(to))
+        if (this->disconnected.contains(from) ||
+            this->disconnected.contains(to))
             return false;
         this->nodes.at(to).received(item.message, this->now);
         return true;
@@ -83,7 +84,7 @@
     instant now{};
     std::vector<membership::member> list;
     std::map<std::uint64_t, membership> nodes;
-    std::set<std::uint64_t> cut;
+    std::set<std::uint64_t> disconnected;
     std::uint64_t datagrams = 0;
 };
 
@@ -111,11 +112,11 @@
         cr_assert_eq(node.alive().size(), 9U);
 }
 
-Test(membership, dead_member_is_found_by_all)
+Test(membership, dead_member_is_detected_by_all)
 {
     fake_network network(9);
     network.run(5s);
-    network.cut.insert(4);
+    network.disconnected.insert(4);
     network.run(60s);
     for (std::uint64_t id = 1; id <= 9; ++id)
     {
@@ -127,19 +128,19 @@
     }
 }
 
-Test(membership, member_back_after_a_cut_refutes_its_death)
+Test(membership, member_that_reconnects_refutes_its_death)
 {
     fake_network network(9);
-    network.cut.insert(4);
+    network.disconnected.insert(4);
     network.run(60s);
     cr_assert_eq(network.alive_at(1), 8U);
-    network.cut.clear();
+    network.disconnected.clear();
     network.run(60s);
     for (std::uint64_t id = 1; id <= 9; ++id)
         cr_assert_eq(network.alive_at(id), 9U);
 }
 
-Test(membership, lost_direct_path_is_bridged_by_helpers)
+Test(membership, member_that_answers_an_indirect_probe_stays_alive)
 {
     membership::options settings;
     membership node(settings);
@@ -153,18 +154,18 @@
     const auto sent = std::get<probe>(first[0].message.body);
     now += 300ms;
     node.tick(now);
-    const auto asked = node.take_outgoing();
-    cr_assert_eq(asked.size(), 1U);
-    const auto through = std::get<indirect_probe>(asked[0].message.body);
-    cr_assert(through.target == sent.target);
+    const auto indirect = node.take_outgoing();
+    cr_assert_eq(indirect.size(), 1U);
+    const auto request = std::get<indirect_probe>(indirect[0].message.body);
+    cr_assert(request.target == sent.target);
     const session_id helper(5 - sent.target.value);
-    node.received({helper, probe_ack{through.sequence, sent.target}, {}}, now);
+    node.received({helper, probe_ack{request.sequence, sent.target}, {}}, now);
     now += 700ms;
     node.tick(now);
     cr_assert(node.state_of(sent.target) == liveness::alive);
 }
 
-Test(membership, old_acknowledgement_proves_nothing)
+Test(membership, acknowledgement_of_an_unknown_probe_is_ignored)
 {
     membership node({});
     const std::vector<membership::member> list{
@@ -178,7 +179,7 @@
     cr_assert(node.state_of(session_id(2)) == liveness::suspect);
 }
 
-Test(membership, late_process_at_an_address_does_not_answer_for_another)
+Test(membership, probe_of_another_session_at_the_same_address_is_not_answered)
 {
     membership node({});
     const std::vector<membership::member> list{
@@ -188,23 +189,25 @@
     cr_assert(node.take_outgoing().empty());
 }
 
-Test(membership, strangers_change_nothing)
+Test(membership, messages_of_unknown_sessions_are_ignored)
 {
     membership node({});
     const std::vector<membership::member> list{
         {session_id(1), "1"}, {session_id(2), "2"}};
     node.members_changed(session_id(1), list, instant{});
     (void)node.take_changed();
-    const member_update news{session_id(3), 1, liveness::alive};
-    node.received({session_id(3), probe{1, session_id(1)}, {news}}, instant{});
+    const member_update update{session_id(3), 1, liveness::alive};
+    node.received(
+        {session_id(3), probe{1, session_id(1)}, {update}}, instant{});
     cr_assert(node.take_outgoing().empty());
     cr_assert_not(node.take_changed());
     cr_assert_eq(node.alive().size(), 2U);
 }
 
-// A datagram of a session that has ended may be sent again by anybody who saw
-// it: it must neither move members, nor be relayed, nor ask for a model.
-Test(membership, ended_sessions_change_nothing)
+// Anybody who has seen a datagram of a session can replay it after the end of
+// the session. It must neither change the state of members, nor be relayed, nor
+// request a model.
+Test(membership, messages_of_ended_sessions_are_ignored)
 {
     membership node({});
     const std::vector<membership::member> list{
@@ -213,11 +216,12 @@
     (void)node.take_changed();
     (void)node.take_outgoing();
     const session_id ended(3);
-    const member_update news{session_id(2), 5, liveness::dead};
-    node.received({ended, probe{1, session_id(1)}, {news}}, instant{});
+    const member_update update{session_id(2), 5, liveness::dead};
+    node.received({ended, probe{1, session_id(1)}, {update}}, instant{});
     node.received({ended, indirect_probe{1, session_id(2)}, {}}, instant{});
-    node.received({ended, probe_ack{1, session_id(2)}, {news}}, instant{});
-    node.received({ended, servable_demand{servable_id(3)}, {news}}, instant{});
+    node.received({ended, probe_ack{1, session_id(2)}, {update}}, instant{});
+    node.received(
+        {ended, servable_demand{servable_id(3)}, {update}}, instant{});
     cr_assert(node.take_outgoing().empty());
     cr_assert(node.take_demands().empty());
     cr_assert_not(node.take_changed());
@@ -276,25 +280,27 @@
 
 Test(peer_message, round_trip_of_every_kind)
 {
-    const member_update news{session_id(9), 3, liveness::suspect};
+    const member_update update{session_id(9), 3, liveness::suspect};
     const std::vector<peer_message> messages{
         {session_id(1), probe{1, session_id(2)}, {}},
-        {session_id(1), indirect_probe{2, session_id(2)}, {news}},
-        {session_id(1), probe_ack{3, session_id(2)}, {news, news}},
+        {session_id(1), indirect_probe{2, session_id(2)}, {update}},
+        {session_id(1), probe_ack{3, session_id(2)}, {update, update}},
         {session_id(1), servable_demand{servable_id(4)}, {}},
-        {session_id(1), caller_visit{servable_id(5), 6}, {news}}};
+        {session_id(1), caller_visit{servable_id(5), 6}, {update}}};
     for (const peer_message& message : messages)
     {
         const auto bytes = encode(message);
         const auto back = decoded(bytes);
         cr_assert(back.has_value());
         cr_assert(encode(*back) == bytes);
-        for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-            cr_assert_not(decoded(std::span(bytes).first(cut)).has_value());
+        for (std::size_t disconnected = 0; disconnected < bytes.size();
+             ++disconnected)
+            cr_assert_not(
+                decoded(std::span(bytes).first(disconnected)).has_value());
     }
 }
 
-Test(peer_message, damaged_bytes_never_pass_for_another_length)
+Test(peer_message, damaged_bytes_never_decode_to_another_length)
 {
     std::mt19937_64 random(7);
     const auto bytes =
