--- a/src/adapters/peers/copy_exchange.cpp
+++ b/src/adapters/peers/copy_exchange.cpp
@@ -127,7 +127,7 @@
 {
     ++this->answering;
     const auto asked = co_await this->read(with, most_ask_bytes);
-    const auto what = asked ? word_of<copy_ask>(*asked) : std::nullopt;
+    const auto what = asked ? word_of<copy_request>(*asked) : std::nullopt;
     if (what && this->source != nullptr)
     {
         auto bytes = this->written(this->source->copy_for(*what));
@@ -151,7 +151,7 @@
 }
 
 void copy_exchange::fetch(
-    std::string_view address, const copy_ask& what, copy_done done)
+    std::string_view address, const copy_request& what, copy_done done)
 {
     const auto parsed = platform::parse_endpoint(std::string(address));
     if (!parsed || this->stopped)
@@ -176,7 +176,7 @@
 }
 
 asio::awaitable<std::optional<directory_copy>>
-copy_exchange::ask(tcp::endpoint whom, copy_ask what)
+copy_exchange::ask(tcp::endpoint whom, copy_request what)
 {
     error_code error;
     stream with(this->loop);
--- a/src/adapters/peers/copy_exchange.hpp
+++ b/src/adapters/peers/copy_exchange.hpp
@@ -47,7 +47,9 @@
 
     void serve(directory_copy_source& source) override;
     void fetch(
-        std::string_view address, const copy_ask& ask, copy_done done) override;
+        std::string_view address,
+        const copy_request& ask,
+        copy_done done) override;
     void stop() override;
 
 private:
@@ -56,7 +58,7 @@
     boost::asio::awaitable<void> accept();
     boost::asio::awaitable<void> answer(stream with);
     boost::asio::awaitable<std::optional<directory_copy>>
-    ask(boost::asio::ip::tcp::endpoint whom, copy_ask what);
+    ask(boost::asio::ip::tcp::endpoint whom, copy_request what);
     std::shared_ptr<const std::string>
     written(std::shared_ptr<const directory_copy> copy);
     boost::asio::awaitable<bool>
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -123,7 +123,7 @@
             this->listener->break_word_heard(word);
         return;
     case word_kind::directory:
-        if (directory_word word; this->decode(body, word))
+        if (directory_update word; this->decode(body, word))
             this->listener->directory_word_heard(word);
         return;
     case word_kind::quota_ask:
@@ -241,11 +241,11 @@
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const directory_word& word)
+    std::span<const std::string> addresses, const directory_update& word)
 {
     const auto kind = static_cast<std::uint8_t>(word_kind::directory);
     const std::vector<std::string> to(addresses.begin(), addresses.end());
-    for (const directory_word& part : split(word, word_room))
+    for (const directory_update& part : split(word, word_room))
         this->parts.push_back({to, encode(kind, part)});
     while (this->parts.size() > most_parts)
         this->parts.pop_front();
--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -55,7 +55,7 @@
         override;
     void send(
         std::span<const std::string> addresses,
-        const directory_word& word) override;
+        const directory_update& word) override;
     void send(
         std::span<const std::string> addresses,
         const server_limit_word& word) override;
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -313,7 +313,7 @@
     this->take_break(word);
 }
 
-void gateway_control::directory_word_heard(const directory_word& word)
+void gateway_control::directory_word_heard(const directory_update& word)
 {
     this->directory->word_heard(word);
 }
@@ -504,7 +504,7 @@
     this->desk->store_back();
 }
 
-void gateway_control::store_read(const directory_word& word)
+void gateway_control::store_read(const directory_update& word)
 {
     this->peers->send(this->other_addresses(), word);
 }
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -150,14 +150,14 @@
     void directory_lost() override;
     void directory_back() override;
     void registry_back() override;
-    void store_read(const directory_word& word) override;
+    void store_read(const directory_update& word) override;
 
     // gateway_peer_listener
     void router_word_heard(const router_word& word) override;
     void
     owner_word_heard(const owner_word& word, std::string_view from) override;
     void break_word_heard(const break_word& word) override;
-    void directory_word_heard(const directory_word& word) override;
+    void directory_word_heard(const directory_update& word) override;
     void quota_ask_heard(const quota_ask& ask, std::string_view from) override;
     void quota_answer_heard(const quota_answer& answer) override;
     void server_limit_word_heard(const server_limit_word& word) override;
--- a/src/core/dissemination/copy_giver.cpp
+++ b/src/core/dissemination/copy_provider.cpp
@@ -1,23 +1,24 @@
-#include "core/dissemination/copy_giver.hpp"
+#include "core/dissemination/copy_provider.hpp"
 
 #include <utility>
 
 namespace roseworks
 {
 
-copy_giver::copy_giver(const registry_changes& changes)
+copy_provider::copy_provider(const registry_change_tracker& changes)
     : registry(changes)
 {
 }
 
-void copy_giver::configuration_read(std::string_view text, std::uint64_t offset)
+void copy_provider::set_configuration(
+    std::string_view text, std::uint64_t offset)
 {
     this->configuration = text;
     this->configuration_offset = offset;
 }
 
-std::shared_ptr<const directory_copy>
-copy_giver::give(const copy_ask& ask, const topic_state& state, instant now)
+std::shared_ptr<const directory_copy> copy_provider::make_copy(
+    const copy_request& ask, const topic_state& state, instant now)
 {
     if (state.age_us < 0)
         return nullptr;
@@ -42,7 +43,7 @@
 }
 
 std::shared_ptr<const directory_copy>
-copy_giver::full_copy(const topic_state& state, instant now)
+copy_provider::full_copy(const topic_state& state, instant now)
 {
     if (this->cached_copy && now < this->cached_at + full_copy_lifetime)
         return this->cached_copy;
@@ -51,7 +52,8 @@
     // State the age that the copy has when it is sent for the last time.
     copy.state.age_us += full_copy_lifetime.count();
     copy.servers = this->registry.all();
-    copy.removals_from = this->registry.remembered_from().value_or(state.next);
+    copy.removals_from =
+        this->registry.removals_known_from().value_or(state.next);
     this->cached_copy = std::make_shared<const directory_copy>(std::move(copy));
     this->cached_at = now;
     return this->cached_copy;
--- a/src/core/dissemination/copy_giver.hpp
+++ b/src/core/dissemination/copy_provider.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/dissemination/directory_copy.hpp"
-#include "core/dissemination/registry_changes.hpp"
+#include "core/dissemination/registry_change_tracker.hpp"
 
 #include <roseworks/instant.hpp>
 
@@ -14,7 +14,7 @@
 {
 
 /// Makes the copies of topics that other routers request from this one.
-class copy_giver
+class copy_provider
 {
 public:
     /// A copy of the whole registry is reused for all requests within this
@@ -25,23 +25,23 @@
 
     /// @param changes The registry as known by this router; must outlive this
     ///                object.
-    explicit copy_giver(const registry_changes& changes);
+    explicit copy_provider(const registry_change_tracker& changes);
 
     /// Sets the configuration to copy.
     /// @param text   A valid configuration, as stored.
     /// @param offset Its offset.
-    void configuration_read(std::string_view text, std::uint64_t offset);
+    void set_configuration(std::string_view text, std::uint64_t offset);
 
     /// @param state How far this router knows the requested topic.
     /// @return      Null when this router knows nothing of the topic.
     std::shared_ptr<const directory_copy>
-    give(const copy_ask& ask, const topic_state& state, instant now);
+    make_copy(const copy_request& ask, const topic_state& state, instant now);
 
 private:
     std::shared_ptr<const directory_copy>
     full_copy(const topic_state& state, instant now);
 
-    const registry_changes& registry;
+    const registry_change_tracker& registry;
     std::string configuration;
     std::uint64_t configuration_offset = 0;
     std::shared_ptr<const directory_copy> cached_copy;
--- a/src/core/dissemination/copy_choice.cpp
+++ b/src/core/dissemination/copy_source_selector.cpp
@@ -1,4 +1,4 @@
-#include "core/dissemination/copy_choice.hpp"
+#include "core/dissemination/copy_source_selector.hpp"
 
 #include <algorithm>
 #include <bit>
@@ -15,36 +15,36 @@
 
 } // namespace
 
-copy_choice::copy_choice(options chosen)
+copy_source_selector::copy_source_selector(options chosen)
     : settings(chosen)
     , random(chosen.seed)
 {
 }
 
-void copy_choice::weighted_routers::clear()
+void copy_source_selector::weighted_routers::clear()
 {
     this->addresses.clear();
     this->capacities.clear();
 }
 
-void copy_choice::weighted_routers::add(const copy_holder& one)
+void copy_source_selector::weighted_routers::add(const copy_source& one)
 {
     this->addresses.push_back(one.address);
     this->capacities.push_back(std::max(one.capacity, min_capacity));
 }
 
 const std::string&
-copy_choice::weighted_routers::draw(std::mt19937_64& random) const
+copy_source_selector::weighted_routers::draw(std::mt19937_64& random) const
 {
     std::discrete_distribution<std::size_t> distribution(
         this->capacities.begin(), this->capacities.end());
     return this->addresses[distribution(random)];
 }
 
-void copy_choice::routers_listed(
-    const copy_holder& self, std::vector<copy_holder> routers)
+void copy_source_selector::routers_listed(
+    const copy_source& self, std::vector<copy_source> routers)
 {
-    const auto rank = [](const copy_holder& one)
+    const auto rank = [](const copy_source& one)
     {
         return std::pair(-one.capacity, std::string_view(one.name));
     };
@@ -54,7 +54,7 @@
     this->all_routers.clear();
     std::size_t routers_ahead =
         0; // routers of this data centre ahead of this one
-    for (const copy_holder& one : routers)
+    for (const copy_source& one : routers)
     {
         if (one.name == self.name)
             continue;
@@ -72,7 +72,7 @@
     this->doublings = static_cast<int>(std::bit_width(routers_ahead / readers));
 }
 
-std::optional<std::string> copy_choice::next()
+std::optional<std::string> copy_source_selector::next()
 {
     constexpr std::size_t kinds = 4;
     if (this->all_routers.addresses.empty())
--- a/src/core/dissemination/copy_choice.hpp
+++ b/src/core/dissemination/copy_source_selector.hpp
@@ -14,7 +14,7 @@
 {
 
 /// A router that copies can be requested from.
-struct copy_holder
+struct copy_source
 {
     std::string name;
     std::string address;
@@ -33,7 +33,7 @@
     that gets no copy in time reads the store itself, so that none of them
     depends on the first readers.
 */
-class copy_choice
+class copy_source_selector
 {
 public:
     struct options
@@ -44,30 +44,31 @@
         /// for this time, multiplied by the number of times that the number of
         /// routers ahead of it doubled. If the first readers fail, the others
         /// thus read the store one after another instead of all at once.
-        duration patience = std::chrono::milliseconds(1500);
+        duration store_fallback_delay = std::chrono::milliseconds(1500);
         std::uint64_t seed = 1;
     };
 
-    explicit copy_choice(options settings);
+    explicit copy_source_selector(options settings);
 
     /// Sets the known routers.
     /// @param routers All routers that announced themselves; may include
     /// `self`.
     void
-    routers_listed(const copy_holder& self, std::vector<copy_holder> routers);
+    routers_listed(const copy_source& self, std::vector<copy_source> routers);
 
     /// @return Whether this router is one of those that read the store at once.
     ///         This is the case, too, when it knows of no other router.
-    bool reads_first() const
+    bool is_first_reader() const
     {
         return this->is_first;
     }
 
     /// @param since When a router without any data began to request copies.
     /// @return      Whether it continues to do so instead of reading the store.
-    bool is_patient(instant since, instant now) const
+    bool awaits_copy(instant since, instant now) const
     {
-        return now - since < this->settings.patience * this->doublings;
+        return now - since <
+               this->settings.store_fallback_delay * this->doublings;
     }
 
     /// @return The address of the router to ask next; empty when no other is
@@ -81,7 +82,7 @@
     struct weighted_routers
     {
         void clear();
-        void add(const copy_holder& one);
+        void add(const copy_source& one);
         const std::string& draw(std::mt19937_64& random) const;
 
         std::vector<std::string> addresses;
--- a/src/core/dissemination/directory_copy.cpp
+++ b/src/core/dissemination/directory_copy.cpp
@@ -3,23 +3,23 @@
 namespace roseworks
 {
 
-copy_use judge(
+copy_verdict evaluate_copy(
     const directory_copy& copy, directory_topic topic, const topic_state& known)
 {
     const bool knows_any = known.age_us >= 0;
     // Updates may have arrived while the copy was in transit.
     if (copy.state.age_us < 0 || (knows_any && copy.state.next < known.next))
-        return copy_use::none;
+        return copy_verdict::none;
     if (knows_any && copy.state.next == known.next)
-        return copy_use::confirms;
+        return copy_verdict::confirms;
     const bool is_deployment = topic == directory_topic::deployment;
     if (is_deployment && copy.configuration.empty())
-        return knows_any ? copy_use::confirms : copy_use::none;
+        return knows_any ? copy_verdict::confirms : copy_verdict::none;
     if (is_deployment)
-        return copy_use::whole;
+        return copy_verdict::whole;
     if (!copy.is_whole)
-        return knows_any ? copy_use::changes : copy_use::none;
-    return copy.servers.empty() ? copy_use::none : copy_use::whole;
+        return knows_any ? copy_verdict::changes : copy_verdict::none;
+    return copy.servers.empty() ? copy_verdict::none : copy_verdict::whole;
 }
 
 std::vector<server_entry> entries_of(const directory_copy& copy)
--- a/src/core/dissemination/directory_copy.hpp
+++ b/src/core/dissemination/directory_copy.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/dissemination/directory_word.hpp"
+#include "core/dissemination/directory_update.hpp"
 #include "core/dissemination/registry_change.hpp"
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 };
 
 /// Requests a copy of a topic from another router.
-struct copy_ask
+struct copy_request
 {
     directory_topic topic = directory_topic::deployment;
     bool knows_any = false; ///< the requester has read the topic before
@@ -75,7 +75,7 @@
 };
 
 /// What a received copy contributes to the state of the requester.
-enum class copy_use : std::uint8_t
+enum class copy_verdict : std::uint8_t
 {
     none,     ///< nothing: it is older than the state, or empty
     confirms, ///< no change, but it confirms the state as of a later time
@@ -86,7 +86,7 @@
 /// Decides how a received copy is used.
 /// @param known How far the requester knows the topic by now; its age is
 ///              negative if it knows nothing.
-copy_use judge(
+copy_verdict evaluate_copy(
     const directory_copy& copy,
     directory_topic topic,
     const topic_state& known);
--- a/src/core/dissemination/directory_word.cpp
+++ b/src/core/dissemination/directory_update.cpp
@@ -1,11 +1,11 @@
-#include "core/dissemination/directory_word.hpp"
+#include "core/dissemination/directory_update.hpp"
 
 #include <utility>
 
 namespace roseworks
 {
 
-std::size_t changes_bytes(const directory_word& word)
+std::size_t changes_bytes(const directory_update& word)
 {
     std::size_t sum = 0;
     for (const registry_change& change : word.changes)
@@ -13,11 +13,12 @@
     return sum;
 }
 
-std::vector<directory_word> split(const directory_word& word, std::size_t room)
+std::vector<directory_update>
+split(const directory_update& word, std::size_t room)
 {
-    directory_word part = word;
+    directory_update part = word;
     part.changes.clear();
-    std::vector<directory_word> parts;
+    std::vector<directory_update> parts;
     std::size_t used = 0;
     for (const registry_change& change : word.changes)
     {
--- a/src/core/dissemination/directory_word.hpp
+++ b/src/core/dissemination/directory_update.hpp
@@ -28,7 +28,7 @@
 /// is sent by the placement owner after each of its reads, and by a router that
 /// read the store because no update arrived. Updates may be lost or late: a
 /// router that misses one reads the store itself.
-struct directory_word
+struct directory_update
 {
     topic_state deployment; ///< of the configuration
     topic_state registry;
@@ -39,7 +39,7 @@
     std::vector<registry_change> changes; ///< in order of their offsets
     /// How long ago the store became reachable again; negative: there was no
     /// recent outage.
-    std::int64_t back_for_us = -1;
+    std::int64_t outage_ended_us_ago = -1;
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -50,12 +50,12 @@
             this->routers,
             this->registry_from,
             this->changes,
-            this->back_for_us);
+            this->outage_ended_us_ago);
     }
 };
 
 /// @return The approximate encoded size of all changes.
-std::size_t changes_bytes(const directory_word& word);
+std::size_t changes_bytes(const directory_update& word);
 
 /** Splits an update that is too large for one datagram. Each part covers a
     range of offsets of the registry, so that a receiver detects a lost part as
@@ -64,6 +64,7 @@
     @param room Maximum size of the changes of a part in bytes. A change that is
                 larger is sent in a part of its own.
 */
-std::vector<directory_word> split(const directory_word& word, std::size_t room);
+std::vector<directory_update>
+split(const directory_update& word, std::size_t room);
 
 } // namespace roseworks
--- a/src/core/dissemination/registry_changes.cpp
+++ b/src/core/dissemination/registry_change_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/dissemination/registry_changes.hpp"
+#include "core/dissemination/registry_change_tracker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -35,26 +35,26 @@
 
 } // namespace
 
-void registry_changes::listed(std::span<const server_entry> all)
+void registry_change_tracker::listed(std::span<const server_entry> all)
 {
     this->known.clear();
     this->pending.clear();
     // The pending changes were discarded, so they must not be announced as
     // complete from this offset on.
-    this->first_untold.reset();
+    this->first_unannounced.reset();
     this->removals.clear();
     this->removals_from.reset();
     for (const server_entry& entry : all)
         this->known.insert_or_assign(entry.id, without_copies(entry));
 }
 
-void registry_changes::listed_as_of(std::uint64_t offset)
+void registry_change_tracker::set_listing_offset(std::uint64_t offset)
 {
     if (!this->removals_from)
         this->removals_from = offset;
 }
 
-void registry_changes::read(const server_entry& entry)
+void registry_change_tracker::read(const server_entry& entry)
 {
     using enum registry_change::kind;
     server_entry routing_entry = without_copies(entry);
@@ -71,7 +71,7 @@
          std::move(routing_entry)});
 }
 
-void registry_changes::removed(std::string_view id, std::uint64_t offset)
+void registry_change_tracker::removed(std::string_view id, std::uint64_t offset)
 {
     const auto found = this->known.find(id);
     if (found != this->known.end())
@@ -80,7 +80,7 @@
     this->add_pending(gone_change(id, offset));
 }
 
-void registry_changes::add_pending(registry_change change)
+void registry_change_tracker::add_pending(registry_change change)
 {
     using enum registry_change::kind;
     const auto before = this->pending.find(change.entry.id);
@@ -92,7 +92,7 @@
     this->pending.insert_or_assign(change.entry.id, std::move(change));
 }
 
-std::vector<registry_change> registry_changes::all() const
+std::vector<registry_change> registry_change_tracker::all() const
 {
     std::vector<registry_change> entries;
     entries.reserve(this->known.size());
@@ -103,7 +103,7 @@
     return entries;
 }
 
-void registry_changes::remember(
+void registry_change_tracker::import_removals(
     std::uint64_t from, std::span<const registry_change> changed)
 {
     this->removals_from = from;
@@ -114,7 +114,7 @@
     }
 }
 
-void registry_changes::remember_removal(
+void registry_change_tracker::remember_removal(
     std::string_view id, std::uint64_t offset)
 {
     constexpr std::size_t max_removals = 512;
@@ -126,7 +126,7 @@
 }
 
 std::optional<std::vector<registry_change>>
-registry_changes::since(std::uint64_t offset) const
+registry_change_tracker::since(std::uint64_t offset) const
 {
     if (!this->removals_from || offset < *this->removals_from)
         return std::nullopt;
@@ -147,13 +147,13 @@
     return changes;
 }
 
-void registry_changes::to_tell_from(std::uint64_t offset)
+void registry_change_tracker::mark_unannounced_from(std::uint64_t offset)
 {
-    if (!this->first_untold)
-        this->first_untold = offset;
+    if (!this->first_unannounced)
+        this->first_unannounced = offset;
 }
 
-bool registry_changes::only_models() const
+bool registry_change_tracker::only_model_changes() const
 {
     return !this->pending.empty() &&
            std::ranges::all_of(
@@ -165,7 +165,7 @@
 }
 
 std::optional<server_entry>
-registry_changes::told(const registry_change& change)
+registry_change_tracker::apply_announced(const registry_change& change)
 {
     using enum registry_change::kind;
     const auto found = this->known.find(change.entry.id);
@@ -184,13 +184,13 @@
     return now;
 }
 
-std::vector<registry_change> registry_changes::take()
+std::vector<registry_change> registry_change_tracker::take_unannounced()
 {
     std::vector<registry_change> changes;
     for (auto& [id, change] : this->pending)
         changes.push_back(std::move(change));
     this->pending.clear();
-    this->first_untold.reset();
+    this->first_unannounced.reset();
     std::ranges::sort(changes, {}, &registry_change::offset);
     return changes;
 }
--- a/src/core/dissemination/topic_progress.cpp
+++ b/src/core/dissemination/topic_progress.cpp
@@ -28,12 +28,12 @@
     this->announced = std::max(this->announced, *this->known);
 }
 
-std::optional<std::uint64_t>
-topic_progress::heard(std::uint64_t from, std::uint64_t next, instant as_of)
+std::optional<std::uint64_t> topic_progress::apply_announcement(
+    std::uint64_t from, std::uint64_t next, instant as_of)
 {
     if (!this->known || next < *this->known)
         return std::nullopt;
-    if (!this->behind())
+    if (!this->is_behind())
         this->announced_at = as_of;
     this->announced = std::max(this->announced, next);
     const bool is_contiguous = from <= *this->known;
@@ -46,22 +46,22 @@
     return has_new ? std::optional(first) : std::nullopt;
 }
 
-bool topic_progress::behind() const
+bool topic_progress::is_behind() const
 {
     return this->known && this->announced > *this->known;
 }
 
 std::optional<instant> topic_progress::behind_since() const
 {
-    return this->behind() ? std::optional(this->announced_at) : std::nullopt;
+    return this->is_behind() ? std::optional(this->announced_at) : std::nullopt;
 }
 
-instant topic_progress::due() const
+instant topic_progress::next_read_at() const
 {
     if (!this->known)
         return instant::min();
     const instant too_old = this->known_as_of + this->settings.max_age;
-    if (!this->behind())
+    if (!this->is_behind())
         return too_old;
     return std::min(
         too_old, this->last_read + this->settings.min_read_interval);
--- a/src/core/dissemination/topic_progress.hpp
+++ b/src/core/dissemination/topic_progress.hpp
@@ -52,13 +52,13 @@
        Without a gap, all before `next` counts as known.
     */
     std::optional<std::uint64_t>
-    heard(std::uint64_t from, std::uint64_t next, instant as_of);
+    apply_announcement(std::uint64_t from, std::uint64_t next, instant as_of);
 
     /// @return When this router has to read the topic itself.
-    instant due() const;
+    instant next_read_at() const;
 
     /// @return Whether announced changes are missing.
-    bool behind() const;
+    bool is_behind() const;
 
     /// @return Since when announced changes are missing; empty if none are.
     std::optional<instant> behind_since() const;
@@ -81,7 +81,7 @@
     }
 
     /// Sets the maximum age of the data.
-    void limit_age(duration max_age)
+    void set_max_age(duration max_age)
     {
         this->settings.max_age = max_age;
     }
--- a/src/core/request/dispatcher_finish.cpp
+++ b/src/core/request/dispatcher_finish.cpp
@@ -348,7 +348,7 @@
         --where.suspects_running;
         this->shared_server_free = true;
     }
-    else if (server.held && server.own == 0)
+    else if (server.reserved_by && server.own == 0)
     {
         this->shared_server_free = true;
     }
--- a/src/core/request/dispatcher_permits.cpp
+++ b/src/core/request/dispatcher_permits.cpp
@@ -27,7 +27,8 @@
 void dispatcher::impl::server_limited(
     const server_place& server, double per_second, instant now)
 {
-    detail::server_pace& pace = this->loads.at(detail::key_of(server)).pace;
+    detail::server_permits& pace =
+        this->loads.at(detail::key_of(server)).permits;
     this->limited_servers -= pace.is_limited() ? 1 : 0;
     pace.limit(per_second);
     this->limited_servers += pace.is_limited() ? 1 : 0;
@@ -39,7 +40,7 @@
     const server_place& server, instant from, instant now)
 {
     const detail::server_key key = detail::key_of(server);
-    this->loads.at(key).pace.allowed(from);
+    this->loads.at(key).permits.granted(from);
     this->due_no_later(from);
     if (from > now)
     {
@@ -93,7 +94,7 @@
 void dispatcher::impl::permit_refused(
     const server_place& server, duration retry_after, instant now)
 {
-    this->loads.at(detail::key_of(server)).pace.refused(now + retry_after);
+    this->loads.at(detail::key_of(server)).permits.refused(now + retry_after);
     this->due_no_later(now + retry_after);
     this->shared_server_free = true;
     this->pump_if_freed(now);
@@ -101,13 +102,13 @@
 
 bool dispatcher::impl::permit_withdrawn(const server_place& server)
 {
-    return this->loads.at(detail::key_of(server)).pace.withdraw();
+    return this->loads.at(detail::key_of(server)).permits.release();
 }
 
 void dispatcher::impl::ask_for_permit(
     const detail::backend& one, bool waits, instant now)
 {
-    this->loads.at(one.server).pace.asked(waits, now);
+    this->loads.at(one.server).permits.requested(waits, now);
     this->commands.emplace_back(
         permit_wanted{{one.where.engine, one.where.address}, waits});
 }
@@ -127,12 +128,12 @@
     }
     for (const detail::backend& one : where.backends)
     {
-        const detail::server_pace* pace = this->loads.pace_of(one.server);
+        const detail::server_permits* pace = this->loads.permits_of(one.server);
         if (pace == nullptr || !one.listed || one.leaving)
         {
             continue;
         }
-        if (pace->must_ask(now))
+        if (pace->must_request(now))
         {
             this->ask_for_permit(one, true, now);
         }
@@ -158,7 +159,7 @@
     for (const std::size_t i : usable)
     {
         const detail::backend& one = where.backends[i];
-        const detail::server_pace* pace = this->loads.pace_of(one.server);
+        const detail::server_permits* pace = this->loads.permits_of(one.server);
         if (pace == nullptr)
         {
             continue;
@@ -168,7 +169,7 @@
         {
             return true;
         }
-        if (!is_asked && pace->must_ask(now))
+        if (!is_asked && pace->must_request(now))
         {
             this->ask_for_permit(one, false, now);
             request.permit_awaited = now + longest_permit_answer;
@@ -192,15 +193,15 @@
     std::optional<duration> next;
     for (const std::size_t i : usable)
     {
-        const detail::server_pace* pace =
-            this->loads.pace_of(where.backends[i].server);
+        const detail::server_permits* pace =
+            this->loads.permits_of(where.backends[i].server);
         if (pace == nullptr || !pace->is_limited())
         {
             return {};
         }
-        const std::chrono::duration<double> turn = pace->turn(now);
+        const std::chrono::duration<double> turn = pace->permit_interval(now);
         outlook.permits_a_second += 1 / turn.count();
-        const duration one = pace->next_in(now);
+        const duration one = pace->estimated_wait(now);
         next = std::min(next.value_or(one), one);
     }
     outlook.next = next.value_or(duration::zero());
--- a/src/core/request/dispatcher_pump.cpp
+++ b/src/core/request/dispatcher_pump.cpp
@@ -162,7 +162,7 @@
     where.long_in_flight += request.item.long_prompt ? 1 : 0;
     detail::server_state& server = this->loads.at(chosen.server);
     ++server.own;
-    server.pace.sent();
+    server.permits.used();
     if (alone)
     {
         server.exclusive = request.item.id;
@@ -238,7 +238,7 @@
                 now - request.item.enqueued < this->settings.ageing;
             if (!must_yield || request.hold)
             {
-                server.held = id;
+                server.reserved_by = id;
                 request.hold = chosen->server;
             }
             return;
@@ -283,14 +283,15 @@
     {
         detail::backend& one = where.backends[i];
         const detail::server_state& server = this->loads.at(one.server);
-        const bool others = server.exclusive ||
-                            (server.held && server.held != request.item.id) ||
-                            !server.pace.may_send(now);
+        const bool others =
+            server.exclusive ||
+            (server.reserved_by && server.reserved_by != request.item.id) ||
+            !server.permits.may_send(now);
         if (others || (another && !untried(i)))
         {
             continue;
         }
-        if (server.held == request.item.id)
+        if (server.reserved_by == request.item.id)
         {
             return &one;
         }
@@ -312,9 +313,9 @@
         return;
     }
     detail::server_state& server = this->loads.at(*request.hold);
-    if (server.held == id)
+    if (server.reserved_by == id)
     {
-        server.held = ticket{};
+        server.reserved_by = ticket{};
     }
     request.hold.reset();
 }
--- a/src/core/request/target.cpp
+++ b/src/core/request/target.cpp
@@ -136,7 +136,8 @@
             total += loads.limit(server, streams, now);
         }
     }
-    const std::size_t kept = batch ? kept_for_better(this->max_streams) : 0;
+    const std::size_t kept =
+        batch ? slots_reserved_from_batch(this->max_streams) : 0;
     return total > kept ? total - kept : total;
 }
 
--- a/src/core/routing/balancer.cpp
+++ b/src/core/routing/balancer.cpp
@@ -148,7 +148,7 @@
     const server_loads& loads,
     instant now)
 {
-    const std::uint32_t reserved_slots = kept_for_better(max_streams);
+    const std::uint32_t reserved_slots = slots_reserved_from_batch(max_streams);
     std::uint32_t total = 0;
     for (const std::size_t i : among)
     {
@@ -290,13 +290,13 @@
         hash_owner = ranks_higher(i, hash_owner) ? i : hash_owner;
         const auto known =
             query.cached == nullptr
-                ? prefix_map::knowledge::none
+                ? prefix_map::freshness::none
                 : query.cached->find(all[i].server, query.prefix, now);
-        if (known == prefix_map::knowledge::none || !accepts(i))
+        if (known == prefix_map::freshness::none || !accepts(i))
         {
             continue;
         }
-        auto& best = known == prefix_map::knowledge::fresh ? fresh : stale;
+        auto& best = known == prefix_map::freshness::fresh ? fresh : stale;
         best = best && !is_preferred(i, *best) ? best : i;
     }
     if (fresh)
--- a/src/core/routing/balancer.hpp
+++ b/src/core/routing/balancer.hpp
@@ -38,7 +38,7 @@
 
 /// @return The number of slots of a target, over all replicas, that are
 ///         reserved for urgent and normal requests.
-constexpr std::uint32_t kept_for_better(std::uint16_t max_streams)
+constexpr std::uint32_t slots_reserved_from_batch(std::uint16_t max_streams)
 {
     return max_streams > 1 ? 1 : 0;
 }
--- a/src/core/routing/name_index.cpp
+++ b/src/core/routing/name_index.cpp
@@ -52,7 +52,8 @@
     return nullptr;
 }
 
-void name_index::insert(std::string_view name, servable_id id, edition current)
+void name_index::insert(
+    std::string_view name, servable_id id, table_version current)
 {
     const std::uint64_t hash = hash_of(name);
     shard& bucket = this->edit(hash % shard_count, current);
@@ -65,14 +66,15 @@
     }
 }
 
-void name_index::erase(std::string_view name, servable_id id, edition current)
+void name_index::erase(
+    std::string_view name, servable_id id, table_version current)
 {
     const std::uint64_t hash = hash_of(name);
     shard& bucket = this->edit(hash % shard_count, current);
     std::erase(bucket.slots, slot{high_half(hash), id});
 }
 
-name_index::shard& name_index::edit(std::size_t index, edition current)
+name_index::shard& name_index::edit(std::size_t index, table_version current)
 {
     if (this->all->version != current)
     {
--- a/src/core/routing/name_index.hpp
+++ b/src/core/routing/name_index.hpp
@@ -26,8 +26,8 @@
     const servable_routes*
     find(std::string_view name, const servable_tree& entries) const;
 
-    void insert(std::string_view name, servable_id id, edition current);
-    void erase(std::string_view name, servable_id id, edition current);
+    void insert(std::string_view name, servable_id id, table_version current);
+    void erase(std::string_view name, servable_id id, table_version current);
 
 private:
     static constexpr std::size_t shard_count = 256;
@@ -48,17 +48,17 @@
 
     struct shard
     {
-        edition version = 0;
+        table_version version = 0;
         std::vector<slot> slots; ///< sorted
     };
 
     struct directory
     {
-        edition version = 0;
+        table_version version = 0;
         std::array<std::shared_ptr<shard>, shard_count> shards;
     };
 
-    shard& edit(std::size_t index, edition current);
+    shard& edit(std::size_t index, table_version current);
 
     std::shared_ptr<directory> all;
 };
--- a/src/core/routing/prefix_map.cpp
+++ b/src/core/routing/prefix_map.cpp
@@ -35,23 +35,23 @@
     tracked.last_report = now;
 }
 
-prefix_map::knowledge
+prefix_map::freshness
 prefix_map::find(server_key server, std::uint64_t prefix, instant now) const
 {
     const auto found = this->engines.find(server);
     if (found == this->engines.end())
     {
-        return knowledge::none;
+        return freshness::none;
     }
     const engine_prefixes& tracked = found->second;
     const auto position = tracked.positions.find(prefix);
     if (position == tracked.positions.end())
     {
-        return knowledge::none;
+        return freshness::none;
     }
     const bool fresh = position->second->gaps == tracked.gaps &&
-                       now - tracked.last_report <= this->limits.silence;
-    return fresh ? knowledge::fresh : knowledge::stale;
+                       now - tracked.last_report <= this->limits.stale_after;
+    return fresh ? freshness::fresh : freshness::stale;
 }
 
 std::size_t prefix_map::size() const
@@ -128,11 +128,11 @@
     {
         return;
     }
-    this->next_sweep = now + this->limits.silence;
+    this->next_sweep = now + this->limits.stale_after;
     for (auto it = this->engines.begin(); it != this->engines.end();)
     {
         engine_prefixes& tracked = it->second;
-        if (now - tracked.last_report <= this->limits.forget_after)
+        if (now - tracked.last_report <= this->limits.evict_after)
         {
             ++it;
             continue;
--- a/src/core/routing/prefix_map.hpp
+++ b/src/core/routing/prefix_map.hpp
@@ -30,7 +30,7 @@
 class prefix_map
 {
 public:
-    enum class knowledge : std::uint8_t
+    enum class freshness : std::uint8_t
     {
         none,
         stale, ///< was cached before events were missed
@@ -43,9 +43,9 @@
         std::size_t max_prefixes = 131'072; ///< of all engines together
         /// The prefixes of an engine become stale so long after its last
         /// report.
-        duration silence = std::chrono::seconds(30);
+        duration stale_after = std::chrono::seconds(30);
         /// An engine is removed so long after its last report.
-        duration forget_after = std::chrono::minutes(2);
+        duration evict_after = std::chrono::minutes(2);
     };
 
     prefix_map() = default;
@@ -54,7 +54,7 @@
     void reported(const cache_report& report, instant now);
 
     /// @return Whether the server caches the prefix, as far as is known.
-    knowledge find(server_key server, std::uint64_t prefix, instant now) const;
+    freshness find(server_key server, std::uint64_t prefix, instant now) const;
 
     /// @return The number of tracked prefixes of all engines.
     std::size_t size() const;
--- a/src/core/routing/servable_tree.cpp
+++ b/src/core/routing/servable_tree.cpp
@@ -12,7 +12,7 @@
 /// Replaces the node by a copy unless it has the current version.
 /// @return The node to modify.
 template <class Node>
-Node& make_writable(std::shared_ptr<Node>& node_ptr, edition current)
+Node& make_writable(std::shared_ptr<Node>& node_ptr, table_version current)
 {
     if (!node_ptr)
     {
@@ -46,7 +46,7 @@
     return entry.id ? &entry : nullptr;
 }
 
-servable_routes& servable_tree::edit(servable_id id, edition current)
+servable_routes& servable_tree::edit(servable_id id, table_version current)
 {
     const std::size_t at = id.value;
     while (at / node_span >= this->root.size())
@@ -58,7 +58,7 @@
     return child.entries[at % fan_out];
 }
 
-void servable_tree::erase(servable_id id, edition current)
+void servable_tree::erase(servable_id id, table_version current)
 {
     if (this->find(id) != nullptr)
     {
--- a/src/core/routing/servable_tree.hpp
+++ b/src/core/routing/servable_tree.hpp
@@ -13,7 +13,7 @@
 
 /// Version of a snapshot. Nodes that were created since the last publication
 /// have the current version and may be modified in place.
-using edition = std::uint64_t;
+using table_version = std::uint64_t;
 
 /** Models and adapters by id: a copy-on-write tree of three levels.
 
@@ -31,9 +31,9 @@
     const servable_routes* find(servable_id id) const;
 
     /// @return The entry to modify; a new one is empty and has id 0.
-    servable_routes& edit(servable_id id, edition current);
+    servable_routes& edit(servable_id id, table_version current);
 
-    void erase(servable_id id, edition current);
+    void erase(servable_id id, table_version current);
 
     /// Calls `visit` with each entry, in order of the ids.
     template <class Visit>
@@ -57,13 +57,13 @@
 private:
     struct leaf
     {
-        edition version = 0;
+        table_version version = 0;
         std::array<servable_routes, fan_out> entries;
     };
 
     struct node
     {
-        edition version = 0;
+        table_version version = 0;
         std::array<std::shared_ptr<leaf>, fan_out> leaves;
     };
 
--- a/src/core/routing/server_loads.cpp
+++ b/src/core/routing/server_loads.cpp
@@ -62,29 +62,29 @@
     return own + this->foreign(server, now);
 }
 
-const server_pace* server_loads::pace_of(server_key server) const
+const server_permits* server_loads::permits_of(server_key server) const
 {
     const auto found = this->states.find(server);
-    return found == this->states.end() ? nullptr : &found->second.pace;
+    return found == this->states.end() ? nullptr : &found->second.permits;
 }
 
 bool server_loads::may_send(server_key server, instant now) const
 {
-    const server_pace* pace = this->pace_of(server);
-    return pace == nullptr || pace->may_send(now);
+    const server_permits* permits = this->permits_of(server);
+    return permits == nullptr || permits->may_send(now);
 }
 
 bool server_loads::is_limited(server_key server) const
 {
-    const server_pace* pace = this->pace_of(server);
-    return pace != nullptr && pace->is_limited();
+    const server_permits* permits = this->permits_of(server);
+    return permits != nullptr && permits->is_limited();
 }
 
 bool server_loads::reserved(server_key server) const
 {
     const auto found = this->states.find(server);
     return found != this->states.end() &&
-           (found->second.exclusive || found->second.held);
+           (found->second.exclusive || found->second.reserved_by);
 }
 
 } // namespace roseworks::detail
--- a/src/core/routing/server_loads.hpp
+++ b/src/core/routing/server_loads.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/routing/server_pace.hpp"
+#include "core/routing/server_permits.hpp"
 
 #include <roseworks/dispatcher.hpp>
 
@@ -34,8 +34,9 @@
     std::uint32_t foreign = 0; ///< requests of others at the last report
     instant reported = instant::min();
     ticket exclusive; ///< suspect request that runs alone on the server
-    ticket held;      ///< suspect request that waits for the server to be idle
-    server_pace pace; ///< permits, if the server has a rate limit
+    ticket
+        reserved_by; ///< suspect request that waits for the server to be idle
+    server_permits permits; ///< permits, if the server has a rate limit
 };
 
 /** The loads of the backend servers: their reports, which lag behind, corrected
@@ -82,7 +83,7 @@
     bool may_send(server_key server, instant now) const;
 
     /// @return Null for an unknown server.
-    const server_pace* pace_of(server_key server) const;
+    const server_permits* permits_of(server_key server) const;
 
     /// @return Whether the server has a rate limit.
     bool is_limited(server_key server) const;
--- a/src/core/routing/server_pace.cpp
+++ b/src/core/routing/server_permits.cpp
@@ -1,4 +1,4 @@
-#include "core/routing/server_pace.hpp"
+#include "core/routing/server_permits.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -15,18 +15,18 @@
 
 } // namespace
 
-void server_pace::limit(double requests)
+void server_permits::limit(double requests)
 {
     const bool toggled = (requests > 0) != this->is_limited();
     if (toggled)
-        *this = server_pace();
+        *this = server_permits();
     this->per_second = requests;
     if (toggled && requests > 0)
         this->average_interval = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(1 / requests));
 }
 
-std::optional<instant> server_pace::changes_at() const
+std::optional<instant> server_permits::changes_at() const
 {
     if (!this->is_limited())
         return std::nullopt;
@@ -35,14 +35,14 @@
     return this->valid_from ? *this->valid_from : this->retry_at;
 }
 
-duration server_pace::turn(instant now) const
+duration server_permits::permit_interval(instant now) const
 {
     const duration waited =
         this->waiting_since ? now - *this->waiting_since : duration::zero();
     return std::max(this->average_interval, waited);
 }
 
-duration server_pace::next_in(instant now) const
+duration server_permits::estimated_wait(instant now) const
 {
     const auto until = [now](instant when)
     {
@@ -62,7 +62,7 @@
     return std::max(retry, left);
 }
 
-void server_pace::asked(bool waits, instant now)
+void server_permits::requested(bool waits, instant now)
 {
     const bool restarted =
         !this->waiting_since || now - this->requested_at >= idle_after;
@@ -72,7 +72,7 @@
     this->requested_at = now;
 }
 
-void server_pace::allowed(instant from)
+void server_permits::granted(instant from)
 {
     this->is_requested = false;
     if (!this->is_limited())
@@ -84,13 +84,13 @@
     this->waiting_since.reset();
 }
 
-void server_pace::refused(instant retry)
+void server_permits::refused(instant retry)
 {
     this->is_requested = false;
     this->retry_at = retry;
 }
 
-bool server_pace::withdraw()
+bool server_permits::release()
 {
     return std::exchange(this->valid_from, std::nullopt).has_value();
 }
--- a/src/core/routing/server_pace.hpp
+++ b/src/core/routing/server_permits.hpp
@@ -14,7 +14,7 @@
     requested at a time. The waiting time for a permit is averaged to estimate
     the next one. Advisory: nothing is decided by it.
 */
-class server_pace
+class server_permits
 {
 public:
     /// @param per_second Requests a second of all routers; 0: no limit.
@@ -32,7 +32,7 @@
     }
 
     /// @return Whether a permit has to be requested now.
-    bool must_ask(instant now) const
+    bool must_request(instant now) const
     {
         return this->is_limited() && !this->awaits_answer(now) &&
                !this->valid_from && this->retry_at <= now;
@@ -44,31 +44,32 @@
         return this->is_requested && now - this->requested_at < answer_timeout;
     }
 
-    /// @return When the result of `must_ask` or `may_send` may change by the
+    /// @return When the result of `must_request` or `may_send` may change by
+    /// the
     ///         passing of time alone.
     std::optional<instant> changes_at() const;
 
     /// @return The estimated time until a request may be sent.
-    duration next_in(instant now) const;
+    duration estimated_wait(instant now) const;
 
     /// @return The time between two permits of this router while requests wait.
-    duration turn(instant now) const;
+    duration permit_interval(instant now) const;
 
     /// A permit was requested.
     /// @param waits Whether a request waits that no other server can take.
-    void asked(bool waits, instant now);
-    void allowed(instant from);
+    void requested(bool waits, instant now);
+    void granted(instant from);
     void refused(instant retry);
 
     /// A request was sent and used the permit.
-    void sent()
+    void used()
     {
         this->valid_from.reset();
     }
 
     /// Gives the permit up.
     /// @return Whether there was one.
-    bool withdraw();
+    bool release();
 
 private:
     /// A permit is requested again if no answer came within this time.
--- a/src/core/routing/sharded_table.hpp
+++ b/src/core/routing/sharded_table.hpp
@@ -94,7 +94,7 @@
 
 private:
     table_snapshot working;
-    edition version = 1;
+    table_version version = 1;
     routing_table_ptr published;
 };
 
--- a/src/ports/directory_copy_port.hpp
+++ b/src/ports/directory_copy_port.hpp
@@ -19,7 +19,7 @@
     /// @return What is known here; null when nothing of the topic is. The same
     ///         object for several asks may be written once for all.
     virtual std::shared_ptr<const directory_copy>
-    copy_for(const copy_ask& ask) = 0;
+    copy_for(const copy_request& ask) = 0;
 };
 
 /// Port: copies of the store's topics between the gateways.
@@ -36,8 +36,8 @@
     /// Asks another router once.
     /// @param address ip:port, as the router announced itself.
     /// @param done    Called once; with nothing when it gave none in time.
-    virtual void
-    fetch(std::string_view address, const copy_ask& ask, copy_done done) = 0;
+    virtual void fetch(
+        std::string_view address, const copy_request& ask, copy_done done) = 0;
 
     /// Nothing is answered or called any more.
     virtual void stop() = 0;
--- a/src/ports/directory_port.hpp
+++ b/src/ports/directory_port.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/dissemination/directory_word.hpp"
+#include "core/dissemination/directory_update.hpp"
 #include "core/serving/deployment.hpp"
 #include "core/serving/server_entry.hpp"
 #include "ports/directory_copy_port.hpp"
@@ -76,7 +76,7 @@
 
     /// This router has read the store: the others are to be told, so that they
     /// needn't.
-    virtual void store_read(const directory_word& word) = 0;
+    virtual void store_read(const directory_update& word) = 0;
 };
 
 /// Port: the store that the platform offers to all routers. Gives copies of
@@ -92,7 +92,7 @@
     virtual void owner_heard(bool heard) = 0;
 
     /// Another router told what it has read of the store.
-    virtual void word_heard(const directory_word& word) = 0;
+    virtual void word_heard(const directory_update& word) = 0;
 
     /// Another router owns placement under a fencing number. If it is a later
     /// one than its own, this router doesn't renew: after a cut from the store
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/dissemination/directory_word.hpp"
+#include "core/dissemination/directory_update.hpp"
 #include "core/pacing/server_limit_word.hpp"
 #include "core/quota/quota_words.hpp"
 #include "core/swapping/peer_words.hpp"
@@ -26,7 +26,7 @@
     owner_word_heard(const owner_word& word, std::string_view from) = 0;
 
     virtual void break_word_heard(const break_word& word) = 0;
-    virtual void directory_word_heard(const directory_word& word) = 0;
+    virtual void directory_word_heard(const directory_update& word) = 0;
 
     /// @param from UDP ip:port of the router.
     virtual void
@@ -50,7 +50,8 @@
     virtual void
     send(std::span<const std::string> addresses, const break_word& word) = 0;
     virtual void send(
-        std::span<const std::string> addresses, const directory_word& word) = 0;
+        std::span<const std::string> addresses,
+        const directory_update& word) = 0;
 
     virtual void send(
         std::span<const std::string> addresses,
--- a/tests/unit/dispatch/test_prefix_affinity.cpp
+++ b/tests/unit/dispatch/test_prefix_affinity.cpp
@@ -7,7 +7,7 @@
 
 using namespace roseworks;
 using namespace roseworks::testing;
-using knowledge = detail::prefix_map::knowledge;
+using knowledge = detail::prefix_map::freshness;
 
 namespace
 {
--- a/tests/unit/dissemination/startup_simulation.cpp
+++ b/tests/unit/dissemination/startup_simulation.cpp
@@ -27,7 +27,7 @@
     return duration(static_cast<duration::rep>(length * micros));
 }
 
-copy_holder holder_of(std::size_t number, std::size_t strong)
+copy_source source_record(std::size_t number, std::size_t strong)
 {
     const std::string name = std::to_string(number);
     return {name, name, number < strong ? 2.0 : 0.1};
@@ -41,15 +41,15 @@
 {
     std::mt19937_64 random(this->settings.seed);
     std::uniform_int_distribution<duration::rep> start_offset(0, 300'000);
-    std::vector<copy_holder> all;
+    std::vector<copy_source> all;
     for (std::size_t i = 0; i < this->settings.routers; ++i)
-        all.push_back(holder_of(i, this->settings.strong_routers));
+        all.push_back(source_record(i, this->settings.strong_routers));
     for (std::size_t i = 0; i < this->settings.routers; ++i)
     {
         router& one = this->routers[i];
-        copy_choice::options choice = this->settings.choice;
+        copy_source_selector::options choice = this->settings.choice;
         choice.seed = random();
-        one.choice = copy_choice(choice);
+        one.choice = copy_source_selector(choice);
         one.choice.routers_listed(all[i], all);
         one.started = instant(duration(start_offset(random)));
         one.bytes_per_second = i < this->settings.strong_routers
@@ -88,22 +88,22 @@
 instant startup_simulation::step(std::size_t number, instant now)
 {
     router& one = this->routers[number];
-    const bool asks =
-        !one.choice.reads_first() && one.choice.is_patient(one.started, now);
+    const bool asks = !one.choice.is_first_reader() &&
+                      one.choice.awaits_copy(one.started, now);
     const auto source = asks ? one.choice.next() : std::nullopt;
     if (!source)
         return this->read_from_store(one, now);
-    router& holder = this->routers[std::stoul(*source)];
-    const duration queued = holder.link_free - now;
+    router& peer = this->routers[std::stoul(*source)];
+    const duration queued = peer.link_free - now;
     const duration each = seconds(
         static_cast<double>(this->settings.servers) * copied_bytes_per_entry /
-        holder.bytes_per_second);
+        peer.bytes_per_second);
     const int most_at_once =
-        holder.bytes_per_second < strong_link_bytes_per_second ? 1 : 8;
+        peer.bytes_per_second < strong_link_bytes_per_second ? 1 : 8;
     const bool is_busy = queued > each * (most_at_once - 1);
-    if (holder.known > now || is_busy)
+    if (peer.known > now || is_busy)
         return now + copy_pause;
-    return this->copy_from(one, holder, now);
+    return this->copy_from(one, peer, now);
 }
 
 instant startup_simulation::read_from_store(router& one, instant now)
@@ -119,15 +119,15 @@
     return instant::max();
 }
 
-instant startup_simulation::copy_from(router& one, router& holder, instant now)
+instant startup_simulation::copy_from(router& one, router& peer, instant now)
 {
     const double bytes =
         static_cast<double>(this->settings.servers) * copied_bytes_per_entry;
-    holder.link_free = std::max(holder.link_free, now) +
-                       seconds(bytes / holder.bytes_per_second);
-    holder.sent += bytes;
+    peer.link_free =
+        std::max(peer.link_free, now) + seconds(bytes / peer.bytes_per_second);
+    peer.sent += bytes;
     one.known =
-        std::max(holder.link_free, now + seconds(bytes / one.bytes_per_second));
+        std::max(peer.link_free, now + seconds(bytes / one.bytes_per_second));
     return instant::max();
 }
 
--- a/tests/unit/dissemination/startup_simulation.hpp
+++ b/tests/unit/dissemination/startup_simulation.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/dissemination/copy_choice.hpp"
+#include "core/dissemination/copy_source_selector.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 /** Simulates, in virtual time, many routers that start together and need the
     whole registry. They get it from a store whose reads share one bandwidth, or
-    from each other over their network links. `copy_choice` decides whom they
-    ask and for how long. */
+    from each other over their network links. `copy_source_selector` decides
+   whom they ask and for how long. */
 class startup_simulation
 {
 public:
@@ -21,7 +21,7 @@
         std::size_t routers = 300;
         std::size_t strong_routers = 6; ///< the first routers have a fast link
         std::size_t servers = 3000;
-        copy_choice::options choice;
+        copy_source_selector::options choice;
         /// So many of the first routers never start. Their records are left
         /// over from an earlier run.
         std::size_t absent_routers = 0;
@@ -43,7 +43,7 @@
 private:
     struct router
     {
-        copy_choice choice{copy_choice::options()};
+        copy_source_selector choice{copy_source_selector::options()};
         instant started;
         instant known = instant::max(); ///< when it got the registry
         instant link_free;
@@ -54,7 +54,7 @@
     /// @return When the router acts again; `instant::max()`: never.
     instant step(std::size_t number, instant now);
     instant read_from_store(router& one, instant now);
-    instant copy_from(router& one, router& holder, instant now);
+    instant copy_from(router& one, router& peer, instant now);
 
     options settings;
     std::vector<router> routers;
--- a/tests/unit/dissemination/test_copy_giver.cpp
+++ b/tests/unit/dissemination/test_copy_provider.cpp
@@ -1,4 +1,4 @@
-#include "core/dissemination/copy_giver.hpp"
+#include "core/dissemination/copy_provider.hpp"
 
 #include <string>
 
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr copy_ask whole_registry{directory_topic::registry, false, 0};
+constexpr copy_request whole_registry{directory_topic::registry, false, 0};
 
 server_entry server(const std::string& id, std::uint64_t offset)
 {
@@ -27,11 +27,11 @@
     {
         const server_entry listed[] = {server("a", 3), server("b", 4)};
         this->registry.listed(listed);
-        this->registry.listed_as_of(10);
+        this->registry.set_listing_offset(10);
     }
 
-    registry_changes registry;
-    copy_giver provider{this->registry};
+    registry_change_tracker registry;
+    copy_provider provider{this->registry};
     instant now{100s};
 };
 
@@ -44,60 +44,63 @@
 
 } // namespace
 
-Test(copy_giver, a_router_without_data_makes_no_copy)
+Test(copy_provider, a_router_without_data_makes_no_copy)
 {
     test_router test;
-    cr_assert_null(test.provider.give(whole_registry, {}, test.now).get());
+    cr_assert_null(test.provider.make_copy(whole_registry, {}, test.now).get());
 }
 
 /// When a copy was made for each of 300 routers, making the copies took the
 /// time in which they should have been sent.
-Test(copy_giver, a_copy_of_the_whole_registry_is_reused_for_250_ms)
+Test(copy_provider, a_copy_of_the_whole_registry_is_reused_for_250_ms)
 {
     test_router test;
-    const auto first = test.provider.give(whole_registry, {10, 0}, test.now);
+    const auto first =
+        test.provider.make_copy(whole_registry, {10, 0}, test.now);
     const auto second =
-        test.provider.give(whole_registry, {12, 0}, test.now + 240ms);
+        test.provider.make_copy(whole_registry, {12, 0}, test.now + 240ms);
     cr_assert_eq(first.get(), second.get());
     const auto third =
-        test.provider.give(whole_registry, {12, 0}, test.now + 250ms);
+        test.provider.make_copy(whole_registry, {12, 0}, test.now + 250ms);
     cr_assert_neq(first.get(), third.get());
     cr_assert_eq(third->state.next, 12);
 }
 
 /// A copy that states a lower age than it has would delay the requester's own
 /// read of the store.
-Test(copy_giver, a_copy_is_never_older_than_its_stated_age)
+Test(copy_provider, a_copy_is_never_older_than_its_stated_age)
 {
     test_router test;
-    const auto copy = test.provider.give(whole_registry, {10, 7000}, test.now);
+    const auto copy =
+        test.provider.make_copy(whole_registry, {10, 7000}, test.now);
     cr_assert_geq(copy->state.age_us, 7000 + duration(250ms).count());
 }
 
-Test(copy_giver, a_requester_with_data_gets_only_the_changes)
+Test(copy_provider, a_requester_with_data_gets_only_the_changes)
 {
     test_router test;
     test.registry.read(server("c", 11));
-    const auto copy = test.provider.give(
+    const auto copy = test.provider.make_copy(
         {directory_topic::registry, true, 10}, {12, 0}, test.now);
     cr_assert_not(copy->is_whole);
     cr_assert_eq(copy->servers.size(), 1);
-    const auto nothing = test.provider.give(
+    const auto nothing = test.provider.make_copy(
         {directory_topic::registry, true, 12}, {12, 0}, test.now);
     cr_assert(nothing->servers.empty());
     cr_assert_eq(nothing->state.next, 12);
 }
 
-Test(copy_giver, a_configuration_is_sent_only_if_it_is_newer)
+Test(copy_provider, a_configuration_is_sent_only_if_it_is_newer)
 {
     test_router test;
-    test.provider.configuration_read("{}", 4);
-    const copy_ask without_it{directory_topic::deployment, true, 4};
-    const copy_ask with_it{directory_topic::deployment, true, 5};
+    test.provider.set_configuration("{}", 4);
+    const copy_request without_it{directory_topic::deployment, true, 4};
+    const copy_request with_it{directory_topic::deployment, true, 5};
     cr_assert_eq(
-        test.provider.give(without_it, {5, 0}, test.now)->configuration, "{}");
-    cr_assert(
-        test.provider.give(with_it, {5, 0}, test.now)->configuration.empty());
+        test.provider.make_copy(without_it, {5, 0}, test.now)->configuration,
+        "{}");
+    cr_assert(test.provider.make_copy(with_it, {5, 0}, test.now)
+                  ->configuration.empty());
 }
 
 Test(directory_copy, a_copy_older_than_the_state_is_ignored)
@@ -106,9 +109,12 @@
     copy.configuration = "{}";
     const topic_state known{6, 0};
     cr_assert(
-        judge(copy, directory_topic::deployment, known) == copy_use::none);
+        evaluate_copy(copy, directory_topic::deployment, known) ==
+        copy_verdict::none);
     copy.state.age_us = -1;
-    cr_assert(judge(copy, directory_topic::deployment, {}) == copy_use::none);
+    cr_assert(
+        evaluate_copy(copy, directory_topic::deployment, {}) ==
+        copy_verdict::none);
 }
 
 Test(directory_copy, a_copy_with_the_same_offset_confirms_the_state)
@@ -116,7 +122,9 @@
     const topic_state known{5, 0};
     for (const auto topic :
          {directory_topic::deployment, directory_topic::registry})
-        cr_assert(judge(copy_up_to(5), topic, known) == copy_use::confirms);
+        cr_assert(
+            evaluate_copy(copy_up_to(5), topic, known) ==
+            copy_verdict::confirms);
 }
 
 Test(directory_copy, changes_require_earlier_data)
@@ -124,18 +132,18 @@
     directory_copy copy = copy_up_to(5);
     copy.is_whole = false;
     const auto topic = directory_topic::registry;
-    cr_assert(judge(copy, topic, {4, 0}) == copy_use::changes);
-    cr_assert(judge(copy, topic, {}) == copy_use::none);
+    cr_assert(evaluate_copy(copy, topic, {4, 0}) == copy_verdict::changes);
+    cr_assert(evaluate_copy(copy, topic, {}) == copy_verdict::none);
 }
 
 Test(directory_copy, an_empty_copy_is_not_used_as_a_registry)
 {
     directory_copy copy = copy_up_to(5);
     const auto topic = directory_topic::registry;
-    cr_assert(judge(copy, topic, {}) == copy_use::none);
+    cr_assert(evaluate_copy(copy, topic, {}) == copy_verdict::none);
     copy.servers.push_back({2, registry_change::kind::whole, server("a", 0)});
     copy.servers.push_back({3, registry_change::kind::gone, server("b", 0)});
-    cr_assert(judge(copy, topic, {}) == copy_use::whole);
+    cr_assert(evaluate_copy(copy, topic, {}) == copy_verdict::whole);
     const auto entries = entries_of(copy);
     cr_assert_eq(entries.size(), 1);
     cr_assert_eq(entries[0].heard, 2);
--- a/tests/unit/dissemination/test_copy_choice.cpp
+++ b/tests/unit/dissemination/test_copy_source_selector.cpp
@@ -1,4 +1,4 @@
-#include "core/dissemination/copy_choice.hpp"
+#include "core/dissemination/copy_source_selector.hpp"
 
 #include <set>
 #include <string>
@@ -12,16 +12,16 @@
 namespace
 {
 
-copy_holder router(int number, double capacity = 1)
+copy_source router(int number, double capacity = 1)
 {
     const std::string name = "r" + std::to_string(number);
     return {name, "address-of-" + name, capacity};
 }
 
 /// @param strong The first so many are stronger than the rest.
-std::vector<copy_holder> routers(int count, int strong)
+std::vector<copy_source> routers(int count, int strong)
 {
-    std::vector<copy_holder> all;
+    std::vector<copy_source> all;
     for (int i = 0; i < count; ++i)
         all.push_back(router(i, i < strong ? 2 : 1));
     return all;
@@ -29,38 +29,38 @@
 
 } // namespace
 
-Test(copy_choice, a_router_without_known_peers_reads_the_store)
+Test(copy_source_selector, a_router_without_known_peers_reads_the_store)
 {
-    copy_choice selector({});
-    cr_assert(selector.reads_first());
+    copy_source_selector selector({});
+    cr_assert(selector.is_first_reader());
     cr_assert(!selector.next());
     selector.routers_listed(router(1), {router(1)});
-    cr_assert(selector.reads_first());
+    cr_assert(selector.is_first_reader());
     cr_assert(!selector.next());
 }
 
 /// After a common start, 300 listings of the registry kept the store too busy
 /// for any other read.
-Test(copy_choice, four_of_all_routers_read_the_store_first)
+Test(copy_source_selector, four_of_all_routers_read_the_store_first)
 {
     for (const int count : {7, 65, 300, 1000})
     {
         int first = 0;
-        for (const copy_holder& self : routers(count, 0))
+        for (const copy_source& self : routers(count, 0))
         {
-            copy_choice selector({});
+            copy_source_selector selector({});
             selector.routers_listed(self, routers(count, 0));
-            first += selector.reads_first() ? 1 : 0;
+            first += selector.is_first_reader() ? 1 : 0;
         }
         cr_assert_eq(first, 4);
     }
 }
 
-Test(copy_choice, routers_of_highest_capacity_read_first_and_are_asked)
+Test(copy_source_selector, routers_of_highest_capacity_read_first_and_are_asked)
 {
-    copy_choice selector({});
+    copy_source_selector selector({});
     selector.routers_listed(router(60), routers(65, 3));
-    cr_assert(!selector.reads_first());
+    cr_assert(!selector.is_first_reader());
     std::set<std::string> asked;
     for (int i = 0; i < 40; ++i)
         asked.insert(*selector.next());
@@ -69,9 +69,9 @@
 }
 
 /// The first readers may all be gone.
-Test(copy_choice, every_other_router_may_be_asked)
+Test(copy_source_selector, every_other_router_may_be_asked)
 {
-    copy_choice selector({});
+    copy_source_selector selector({});
     selector.routers_listed(router(6), routers(7, 0));
     std::set<std::string> asked;
     for (int i = 0; i < 400; ++i)
@@ -81,12 +81,12 @@
 }
 
 /// Traffic between data centres was the largest cost of a start of 300 routers.
-Test(copy_choice, routers_of_its_data_centre_are_asked_before_others)
+Test(copy_source_selector, routers_of_its_data_centre_are_asked_before_others)
 {
-    std::vector<copy_holder> all = routers(60, 0);
+    std::vector<copy_source> all = routers(60, 0);
     for (std::size_t i = 0; i < all.size(); ++i)
         all[i].data_centre = i < 30 ? "a" : "b";
-    copy_choice selector({});
+    copy_source_selector selector({});
     selector.routers_listed(all[40], all);
     int remote_requests = 0;
     for (int i = 0; i < 40; ++i)
@@ -99,22 +99,23 @@
     cr_assert_gt(remote_requests, 0);
 }
 
-Test(copy_choice, the_only_router_of_a_data_centre_reads_first)
+Test(copy_source_selector, the_only_router_of_a_data_centre_reads_first)
 {
-    std::vector<copy_holder> all = routers(7, 0);
+    std::vector<copy_source> all = routers(7, 0);
     all[6].data_centre = "b";
-    copy_choice selector({});
+    copy_source_selector selector({});
     selector.routers_listed(all[6], all);
-    cr_assert(selector.reads_first());
+    cr_assert(selector.is_first_reader());
     cr_assert(selector.next().has_value());
 }
 
-Test(copy_choice, a_router_without_a_copy_reads_the_store_after_a_delay)
+Test(
+    copy_source_selector, a_router_without_a_copy_reads_the_store_after_a_delay)
 {
-    copy_choice selector({.patience = 500ms});
+    copy_source_selector selector({.store_fallback_delay = 500ms});
     const instant since{10s};
-    cr_assert(!selector.is_patient(since, since));
+    cr_assert(!selector.awaits_copy(since, since));
     selector.routers_listed(router(64), routers(65, 64));
-    cr_assert(selector.is_patient(since, since + 2s));
-    cr_assert(!selector.is_patient(since, since + 2500ms));
+    cr_assert(selector.awaits_copy(since, since + 2s));
+    cr_assert(!selector.awaits_copy(since, since + 2500ms));
 }
--- a/tests/unit/dissemination/test_registry_changes.cpp
+++ b/tests/unit/dissemination/test_registry_change_tracker.cpp
@@ -1,5 +1,5 @@
-#include "core/dissemination/directory_word.hpp"
-#include "core/dissemination/registry_changes.hpp"
+#include "core/dissemination/directory_update.hpp"
+#include "core/dissemination/registry_change_tracker.hpp"
 
 #include <cstdint>
 #include <string>
@@ -27,97 +27,101 @@
 
 } // namespace
 
-Test(registry_changes, heartbeats_and_copies_of_weights_are_not_announced)
+Test(
+    registry_change_tracker, heartbeats_and_copies_of_weights_are_not_announced)
 {
-    registry_changes changes;
+    registry_change_tracker changes;
     const server_entry first[] = {engine(1)};
     changes.listed(first);
     server_entry heartbeat = engine(7);
     changes.read(heartbeat);
     heartbeat.holdings.on_disk.emplace_back("m3");
     changes.read(heartbeat);
-    cr_assert(changes.take().empty());
+    cr_assert(changes.take_unannounced().empty());
 }
 
-Test(registry_changes, a_change_of_models_is_announced_once)
+Test(registry_change_tracker, a_change_of_models_is_announced_once)
 {
-    registry_changes changes;
+    registry_change_tracker changes;
     const server_entry first[] = {engine(1)};
     changes.listed(first);
     server_entry loaded = engine(8);
     loaded.holdings.resident.push_back({"m2", {}});
     changes.read(loaded);
     changes.read(loaded);
-    cr_assert(changes.only_models());
-    const auto announced = changes.take();
+    cr_assert(changes.only_model_changes());
+    const auto announced = changes.take_unannounced();
     cr_assert_eq(announced.size(), 1);
     cr_assert_eq(announced[0].offset, 8);
     cr_assert(announced[0].what == registry_change::kind::models);
     cr_assert(announced[0].entry.holdings.on_disk.empty());
     cr_assert(!announced[0].entry.holdings.copies_known);
-    cr_assert(changes.take().empty());
+    cr_assert(changes.take_unannounced().empty());
 }
 
-Test(registry_changes, only_the_last_change_of_a_server_is_announced)
+Test(registry_change_tracker, only_the_last_change_of_a_server_is_announced)
 {
-    registry_changes changes;
+    registry_change_tracker changes;
     const server_entry first[] = {engine(1)};
     changes.listed(first);
     server_entry leaving = engine(8);
     leaving.leaving = true;
     changes.read(leaving);
-    cr_assert(!changes.only_models());
+    cr_assert(!changes.only_model_changes());
     leaving.heard = 9;
     leaving.holdings.resident.clear();
     changes.read(leaving);
-    const auto announced = changes.take();
+    const auto announced = changes.take_unannounced();
     cr_assert_eq(announced.size(), 1);
     cr_assert_eq(announced[0].offset, 9);
     cr_assert(announced[0].what == registry_change::kind::whole);
     cr_assert(announced[0].entry.leaving);
     changes.removed("e1", 10);
-    cr_assert(!changes.only_models());
-    cr_assert(changes.take().at(0).what == registry_change::kind::gone);
+    cr_assert(!changes.only_model_changes());
+    cr_assert(
+        changes.take_unannounced().at(0).what == registry_change::kind::gone);
 }
 
 /// A server that registers again after its removal has to be announced in full.
-Test(registry_changes, a_server_that_registers_again_is_announced)
+Test(registry_change_tracker, a_server_that_registers_again_is_announced)
 {
-    registry_changes changes;
+    registry_change_tracker changes;
     const server_entry first[] = {engine(1)};
     changes.listed(first);
     changes.removed("e1", 5);
     changes.read(engine(6));
-    const auto announced = changes.take();
+    const auto announced = changes.take_unannounced();
     cr_assert_eq(announced.size(), 1);
     cr_assert(announced[0].what == registry_change::kind::whole);
 }
 
 /// The receiver knows the same registry up to the offset of the change.
-Test(registry_changes, an_announced_change_gives_the_same_entry_as_a_read)
+Test(
+    registry_change_tracker, an_announced_change_gives_the_same_entry_as_a_read)
 {
     const server_entry first[] = {engine(1)};
-    registry_changes reader;
-    registry_changes receiver;
+    registry_change_tracker reader;
+    registry_change_tracker receiver;
     reader.listed(first);
     receiver.listed(first);
     server_entry loaded = engine(8);
     loaded.holdings.resident = {{"m2", {"a1", "a4"}}, {"m3", {}}};
     reader.read(loaded);
-    const auto changes = reader.take();
-    const auto heard = receiver.told(changes.at(0));
+    const auto changes = reader.take_unannounced();
+    const auto heard = receiver.apply_announced(changes.at(0));
     cr_assert(heard.has_value());
     cr_assert_eq(heard->address, loaded.address);
     cr_assert_eq(heard->heard, 8);
     cr_assert(heard->holdings.resident == loaded.holdings.resident);
     receiver.read(loaded);
-    cr_assert(receiver.take().empty());
+    cr_assert(receiver.take_unannounced().empty());
 }
 
-Test(registry_changes, models_of_an_unknown_engine_make_no_entry)
+Test(registry_change_tracker, models_of_an_unknown_engine_make_no_entry)
 {
-    registry_changes changes;
-    cr_assert(!changes.told({4, registry_change::kind::models, engine(4)}));
+    registry_change_tracker changes;
+    cr_assert(!changes.apply_announced(
+        {4, registry_change::kind::models, engine(4)}));
 }
 
 Test(registry_change, models_are_packed_and_unpacked)
@@ -128,9 +132,9 @@
     cr_assert(unpack("").empty());
 }
 
-Test(directory_word, the_parts_of_a_split_update_leave_no_gap)
+Test(directory_update, the_parts_of_a_split_update_leave_no_gap)
 {
-    directory_word word;
+    directory_update word;
     word.registry_from = 100;
     word.registry = {200, 5};
     for (std::uint64_t i = 0; i < 7; ++i)
@@ -141,7 +145,7 @@
     cr_assert_eq(parts.size(), 3);
     std::uint64_t from = 100;
     std::size_t changes = 0;
-    for (const directory_word& part : parts)
+    for (const directory_update& part : parts)
     {
         cr_assert_leq(changes_bytes(part), room);
         cr_assert_eq(part.registry_from, from);
@@ -157,9 +161,9 @@
     cr_assert_eq(changes, 7);
 }
 
-Test(directory_word, an_update_without_changes_is_not_split)
+Test(directory_update, an_update_without_changes_is_not_split)
 {
-    directory_word word;
+    directory_update word;
     word.registry_from = 7;
     word.registry = {9, 5};
     const auto parts = split(word, 3);
@@ -194,12 +198,12 @@
 
 /// A router can request the changes that it missed instead of the whole
 /// registry.
-Test(registry_changes, changes_since_an_offset_include_removals)
+Test(registry_change_tracker, changes_since_an_offset_include_removals)
 {
-    registry_changes registry;
+    registry_change_tracker registry;
     const server_entry listed[] = {heard_at("a", 3), heard_at("b", 4)};
     registry.listed(listed);
-    registry.listed_as_of(10);
+    registry.set_listing_offset(10);
     registry.read(heard_at("c", 11));
     registry.removed("a", 12);
     registry.removed("c", 13);
@@ -213,22 +217,22 @@
 
 /// If a removal were missing from the changes, the requester would keep a
 /// server that no longer exists.
-Test(registry_changes, changes_before_the_listing_are_not_known)
+Test(registry_change_tracker, changes_before_the_listing_are_not_known)
 {
-    registry_changes registry;
+    registry_change_tracker registry;
     const server_entry listed[] = {heard_at("a", 3)};
     registry.listed(listed);
     cr_assert(!registry.since(3));
-    registry.listed_as_of(10);
+    registry.set_listing_offset(10);
     cr_assert(!registry.since(9));
     cr_assert(registry.since(10));
 }
 
-Test(registry_changes, only_the_last_removals_are_kept)
+Test(registry_change_tracker, only_the_last_removals_are_kept)
 {
-    registry_changes registry;
+    registry_change_tracker registry;
     registry.listed({});
-    registry.listed_as_of(0);
+    registry.set_listing_offset(0);
     constexpr std::uint64_t many = 5000;
     for (std::uint64_t i = 0; i < many; ++i)
         registry.removed("s" + std::to_string(i), i);
@@ -238,19 +242,21 @@
 
 /// Routers that had copied the registry could answer requests only with the
 /// whole registry. While it grew, 300 routers sent it to each other repeatedly.
-Test(registry_changes, a_router_that_copied_the_registry_knows_its_changes)
+Test(
+    registry_change_tracker,
+    a_router_that_copied_the_registry_knows_its_changes)
 {
-    registry_changes sender;
+    registry_change_tracker sender;
     const server_entry listed[] = {heard_at("a", 3), heard_at("b", 4)};
     sender.listed(listed);
-    sender.listed_as_of(10);
+    sender.set_listing_offset(10);
     sender.removed("a", 12);
     sender.read(heard_at("c", 14));
-    registry_changes copier;
+    registry_change_tracker copier;
     const server_entry copied[] = {heard_at("b", 4), heard_at("c", 14)};
     copier.listed(copied);
-    copier.remember(sender.remembered_from().value(), sender.all());
-    copier.listed_as_of(15);
+    copier.import_removals(sender.removals_known_from().value(), sender.all());
+    copier.set_listing_offset(15);
     const std::vector<std::string> changed{"-a", "c"};
     cr_assert(ids_of(copier.since(10).value()) == changed);
     cr_assert(!copier.since(9));
@@ -259,32 +265,32 @@
 /// An update must include all changes since the offset from which it announces.
 /// A listing discards the changes that were read before it, so they must not be
 /// announced as complete.
-Test(registry_changes, a_listing_discards_the_changes_read_before_it)
+Test(registry_change_tracker, a_listing_discards_the_changes_read_before_it)
 {
-    registry_changes registry;
+    registry_change_tracker registry;
     registry.listed({});
-    registry.to_tell_from(5);
+    registry.mark_unannounced_from(5);
     registry.read(heard_at("a", 5));
-    registry.to_tell_from(6);
-    cr_assert_eq(registry.untold_from().value(), 5);
+    registry.mark_unannounced_from(6);
+    cr_assert_eq(registry.unannounced_from().value(), 5);
     registry.listed({});
-    cr_assert(!registry.untold_from());
-    cr_assert(registry.take().empty());
-    registry.to_tell_from(9);
-    cr_assert_eq(registry.untold_from().value(), 9);
-    registry.take();
-    cr_assert(!registry.untold_from());
+    cr_assert(!registry.unannounced_from());
+    cr_assert(registry.take_unannounced().empty());
+    registry.mark_unannounced_from(9);
+    cr_assert_eq(registry.unannounced_from().value(), 9);
+    registry.take_unannounced();
+    cr_assert(!registry.unannounced_from());
 }
 
-Test(registry_changes, an_announced_removal_can_be_passed_on)
+Test(registry_change_tracker, an_announced_removal_can_be_passed_on)
 {
-    registry_changes registry;
+    registry_change_tracker registry;
     const server_entry listed[] = {heard_at("a", 3)};
     registry.listed(listed);
-    registry.listed_as_of(4);
+    registry.set_listing_offset(4);
     registry_change gone{6, registry_change::kind::gone, {}};
     gone.entry.id = "a";
-    cr_assert(!registry.told(gone));
+    cr_assert(!registry.apply_announced(gone));
     const std::vector<std::string> changed{"-a"};
     cr_assert(ids_of(registry.since(4).value()) == changed);
 }
--- a/tests/unit/dissemination/test_topic_progress.cpp
+++ b/tests/unit/dissemination/test_topic_progress.cpp
@@ -25,17 +25,17 @@
 Test(topic_progress, announcements_before_the_first_read_are_ignored)
 {
     topic_progress progress({900ms, 0ms});
-    cr_assert(!progress.heard(0, 10, start));
+    cr_assert(!progress.apply_announcement(0, 10, start));
     cr_assert(!progress.next());
-    cr_assert(progress.due() <= start);
+    cr_assert(progress.next_read_at() <= start);
 }
 
 Test(topic_progress, without_announcements_it_reads_when_its_data_is_old)
 {
     topic_progress progress = reader();
-    cr_assert(progress.due() == start + 900ms);
+    cr_assert(progress.next_read_at() == start + 900ms);
     progress.read(50, start + 905ms);
-    cr_assert(progress.due() == start + 1805ms);
+    cr_assert(progress.next_read_at() == start + 1805ms);
 }
 
 /// 300 routers that each read the store sent it 530 requests a second.
@@ -45,10 +45,10 @@
     std::uint64_t next = 50;
     for (instant now = start; now < start + 60s; now += 300ms)
     {
-        cr_assert(progress.due() > now);
+        cr_assert(progress.next_read_at() > now);
         const std::uint64_t from = next;
         next += 30;
-        const auto first = progress.heard(from, next, now);
+        const auto first = progress.apply_announcement(from, next, now);
         cr_assert_eq(first.value(), from);
     }
     cr_assert_eq(progress.next().value(), next);
@@ -57,13 +57,13 @@
 Test(topic_progress, a_gap_after_a_lost_announcement_is_read_at_once)
 {
     topic_progress progress = reader();
-    cr_assert(!progress.heard(60, 70, start + 300ms));
-    cr_assert(progress.behind());
+    cr_assert(!progress.apply_announcement(60, 70, start + 300ms));
+    cr_assert(progress.is_behind());
     cr_assert_eq(progress.next().value(), 50);
-    cr_assert(progress.due() <= start + 300ms);
+    cr_assert(progress.next_read_at() <= start + 300ms);
     progress.read(72, start + 310ms);
-    cr_assert(!progress.behind());
-    cr_assert(progress.due() == start + 310ms + 900ms);
+    cr_assert(!progress.is_behind());
+    cr_assert(progress.next_read_at() == start + 310ms + 900ms);
 }
 
 /// Several configurations that are announced within one second are read
@@ -71,17 +71,17 @@
 Test(topic_progress, changes_in_quick_succession_are_read_together)
 {
     topic_progress progress = reader(700ms);
-    cr_assert(!progress.heard(51, 51, start + 100ms));
-    cr_assert(progress.due() == start + 700ms);
-    cr_assert(!progress.heard(53, 53, start + 300ms));
-    cr_assert(progress.due() == start + 700ms);
+    cr_assert(!progress.apply_announcement(51, 51, start + 100ms));
+    cr_assert(progress.next_read_at() == start + 700ms);
+    cr_assert(!progress.apply_announcement(53, 53, start + 300ms));
+    cr_assert(progress.next_read_at() == start + 700ms);
 }
 
 /// After a read of its own, a router knows more than the last announcement.
 Test(topic_progress, only_the_new_part_of_an_overlapping_announcement_counts)
 {
     topic_progress progress = reader();
-    const auto first = progress.heard(30, 60, start + 10ms);
+    const auto first = progress.apply_announcement(30, 60, start + 10ms);
     cr_assert_eq(first.value(), 50);
     cr_assert_eq(progress.next().value(), 60);
 }
@@ -89,15 +89,15 @@
 Test(topic_progress, an_announcement_from_a_router_that_is_behind_is_ignored)
 {
     topic_progress progress = reader();
-    cr_assert(!progress.heard(10, 40, start + 800ms));
-    cr_assert(progress.due() == start + 900ms);
+    cr_assert(!progress.apply_announcement(10, 40, start + 800ms));
+    cr_assert(progress.next_read_at() == start + 900ms);
 }
 
 Test(topic_progress, an_announcement_of_the_same_offset_refreshes_the_data)
 {
     topic_progress progress = reader();
-    cr_assert(!progress.heard(50, 50, start + 800ms));
-    cr_assert(progress.due() == start + 1700ms);
+    cr_assert(!progress.apply_announcement(50, 50, start + 800ms));
+    cr_assert(progress.next_read_at() == start + 1700ms);
 }
 
 /// A sender that is disconnected from the store goes on announcing data of
@@ -105,8 +105,8 @@
 Test(topic_progress, an_old_announcement_does_not_delay_the_next_read)
 {
     topic_progress progress = reader();
-    cr_assert(!progress.heard(50, 50, start - 5s));
-    cr_assert(progress.due() == start + 900ms);
+    cr_assert(!progress.apply_announcement(50, 50, start - 5s));
+    cr_assert(progress.next_read_at() == start + 900ms);
 }
 
 /// A store that lags behind the announcements must not be read over and over
@@ -114,10 +114,10 @@
 Test(topic_progress, a_read_that_gives_less_than_announced_is_not_repeated)
 {
     topic_progress progress = reader();
-    cr_assert(!progress.heard(60, 70, start + 300ms));
+    cr_assert(!progress.apply_announcement(60, 70, start + 300ms));
     progress.read(55, start + 310ms);
-    cr_assert(!progress.behind());
-    cr_assert(progress.due() == start + 310ms + 900ms);
+    cr_assert(!progress.is_behind());
+    cr_assert(progress.next_read_at() == start + 310ms + 900ms);
 }
 
 /// A copy from a router that was behind, too, ended the search for changes that
@@ -125,11 +125,11 @@
 Test(topic_progress, announced_changes_not_in_a_copy_are_still_missing)
 {
     topic_progress progress = reader();
-    cr_assert(!progress.heard(60, 70, start + 100ms));
+    cr_assert(!progress.apply_announcement(60, 70, start + 100ms));
     progress.copied(65, start + 200ms);
     cr_assert_eq(progress.next().value(), 65);
-    cr_assert(progress.behind());
+    cr_assert(progress.is_behind());
     progress.copied(70, start + 300ms);
-    cr_assert_not(progress.behind());
-    cr_assert(progress.due() == start + 1200ms);
+    cr_assert_not(progress.is_behind());
+    cr_assert(progress.next_read_at() == start + 1200ms);
 }
--- a/tests/unit/gateway/test_pace_desk.cpp
+++ b/tests/unit/gateway/test_pace_desk.cpp
@@ -31,7 +31,7 @@
     void send(std::span<const std::string>, const router_word&) override {}
     void send(std::span<const std::string>, const owner_word&) override {}
     void send(std::span<const std::string>, const break_word&) override {}
-    void send(std::span<const std::string>, const directory_word&) override {}
+    void send(std::span<const std::string>, const directory_update&) override {}
     void send(std::span<const std::string>, const server_limit_word&) override
     {
     }
--- a/tests/unit/users_platform/no_copies.hpp
+++ b/tests/unit/users_platform/no_copies.hpp
@@ -11,7 +11,7 @@
 public:
     void serve(directory_copy_source&) override {}
 
-    void fetch(std::string_view, const copy_ask&, copy_done done) override
+    void fetch(std::string_view, const copy_request&, copy_done done) override
     {
         done(std::nullopt);
     }
--- a/tests/unit/users_platform/test_copy_exchange.cpp
+++ b/tests/unit/users_platform/test_copy_exchange.cpp
@@ -24,7 +24,8 @@
 class known_topics final : public directory_copy_source
 {
 public:
-    std::shared_ptr<const directory_copy> copy_for(const copy_ask& ask) override
+    std::shared_ptr<const directory_copy>
+    copy_for(const copy_request& ask) override
     {
         this->asked = ask;
         if (!this->knows)
@@ -41,7 +42,7 @@
     }
 
     bool knows = true;
-    std::optional<copy_ask> asked;
+    std::optional<copy_request> asked;
 };
 
 std::string text_of(const tcp::endpoint& endpoint)
@@ -75,7 +76,7 @@
         return made;
     }
 
-    std::optional<directory_copy> fetch(const copy_ask& ask)
+    std::optional<directory_copy> fetch(const copy_request& ask)
     {
         std::optional<directory_copy> got;
         bool is_done = false;
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -106,7 +106,9 @@
     void serve(directory_copy_source&) override {}
 
     void fetch(
-        std::string_view address, const copy_ask& ask, copy_done done) override
+        std::string_view address,
+        const copy_request& ask,
+        copy_done done) override
     {
         this->asked.emplace_back(address);
         if (!this->gives)
@@ -165,7 +167,7 @@
     void directory_lost() override {}
     void directory_back() override {}
     void registry_back() override {}
-    void store_read(const directory_word&) override {}
+    void store_read(const directory_update&) override {}
 
     std::uint64_t version = 0;
     std::vector<bool> behind;
@@ -265,7 +267,7 @@
         });
     test.copies.next = 6;
     test.copies.version = 8;
-    directory_word word;
+    directory_update word;
     word.deployment = {6, 10};
     test.directory.word_heard(word);
     test.run_until(
@@ -291,7 +293,7 @@
     test.copies.next = 4;
     test.copies.version = 9;
     const std::size_t before = test.copies.asked.size();
-    directory_word word;
+    directory_update word;
     word.deployment = {6, 10};
     word.registry = {8, 10};
     word.registry_from = 7;
@@ -342,7 +344,7 @@
     test.copies.gives = false;
     const int refused = test.store.refused;
     const std::size_t asked = test.copies.asked.size();
-    directory_word word;
+    directory_update word;
     word.deployment = {6, 10};
     test.directory.word_heard(word);
     test.run_until(
@@ -370,7 +372,7 @@
             return test.listener.version == 7;
         });
     const int refused = test.store.refused;
-    directory_word word;
+    directory_update word;
     word.deployment = {6, 10};
     test.copies.gives = false;
     test.directory.word_heard(word);
--- a/tests/unit/users_platform/test_directory_words.cpp
+++ b/tests/unit/users_platform/test_directory_words.cpp
@@ -62,7 +62,7 @@
         ++this->returns;
     }
 
-    void store_read(const directory_word& word) override
+    void store_read(const directory_update& word) override
     {
         this->told.push_back(word);
     }
@@ -72,7 +72,7 @@
     int returns = 0;
     std::vector<server_entry> read;
     std::vector<std::string> removed;
-    std::vector<directory_word> told;
+    std::vector<directory_update> told;
 };
 
 /// A directory that has listed the store and would not read it again by itself.
@@ -133,9 +133,9 @@
 };
 
 /// The fake store's listings end at offset 1.
-directory_word word_of(std::uint64_t from, std::uint64_t next)
+directory_update word_of(std::uint64_t from, std::uint64_t next)
 {
-    directory_word made;
+    directory_update made;
     made.registry_from = from;
     made.registry = {next, 100};
     return made;
@@ -154,7 +154,7 @@
 Test(directory_words, what_the_owner_read_is_taken_as_if_read_here)
 {
     listed_directory test;
-    directory_word word = word_of(1, 10);
+    directory_update word = word_of(1, 10);
     word.changes = {change_of(3, "e1", false), change_of(4, "e2", true)};
     test.directory.word_heard(word);
     cr_assert_eq(test.listener.read.size(), 1);
@@ -168,7 +168,7 @@
 Test(directory_words, nothing_is_taken_twice)
 {
     listed_directory test;
-    directory_word word = word_of(1, 5);
+    directory_update word = word_of(1, 5);
     word.changes = {change_of(2, "e1", true)};
     test.directory.word_heard(word);
     test.directory.word_heard(word);
@@ -183,7 +183,7 @@
 {
     listed_directory test;
     const int before = test.store.reads();
-    directory_word word = word_of(8, 9);
+    directory_update word = word_of(8, 9);
     word.changes = {change_of(8, "e1", false)};
     test.directory.word_heard(word);
     cr_assert(test.listener.read.empty());
@@ -196,11 +196,11 @@
 Test(directory_words, a_return_of_the_store_is_heard_once_and_first)
 {
     listed_directory test;
-    directory_word word = word_of(1, 2);
-    word.back_for_us = 1000;
+    directory_update word = word_of(1, 2);
+    word.outage_ended_us_ago = 1000;
     test.directory.word_heard(word);
     word = word_of(2, 3);
-    word.back_for_us = 400'000;
+    word.outage_ended_us_ago = 400'000;
     test.directory.word_heard(word);
     cr_assert_eq(test.listener.returns, 1);
 }
@@ -217,7 +217,7 @@
         {
             return !test.listener.told.empty();
         });
-    const directory_word& word = test.listener.told.front();
+    const directory_update& word = test.listener.told.front();
     cr_assert_eq(word.registry.next, 1);
     cr_assert_geq(word.registry.age_us, 0);
     cr_assert_eq(word.registry_from, 1);
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -36,7 +36,7 @@
         this->breaks.push_back(word);
     }
 
-    void directory_word_heard(const directory_word& word) override
+    void directory_word_heard(const directory_update& word) override
     {
         this->directories.push_back(word);
     }
@@ -60,7 +60,7 @@
     std::vector<quota_ask> asks;
     std::vector<quota_answer> answers;
     std::vector<router_word> routers;
-    std::vector<directory_word> directories;
+    std::vector<directory_update> directories;
     std::vector<owner_word> owners;
     std::vector<break_word> breaks;
 };
@@ -181,10 +181,10 @@
     kept_words kept;
     receiver.start(kept);
     using enum registry_change::kind;
-    directory_word word;
+    directory_update word;
     word.registry_from = 10;
     word.registry = {50, 700};
-    word.back_for_us = 30;
+    word.outage_ended_us_ago = 30;
     for (std::uint64_t i = 0; i < 9; ++i)
     {
         registry_change change{
@@ -213,10 +213,10 @@
     cr_assert_geq(kept.directories.size(), 2);
     std::vector<registry_change> changes;
     std::uint64_t from = 10;
-    for (const directory_word& part : kept.directories)
+    for (const directory_update& part : kept.directories)
     {
         cr_assert_eq(part.registry_from, from);
-        cr_assert_eq(part.back_for_us, 30);
+        cr_assert_eq(part.outage_ended_us_ago, 30);
         from = part.registry.next;
         changes.insert(changes.end(), part.changes.begin(), part.changes.end());
     }
--- a/tests/unit/users_platform/test_own_record.cpp
+++ b/tests/unit/users_platform/test_own_record.cpp
@@ -93,7 +93,7 @@
     void directory_lost() override {}
     void directory_back() override {}
     void registry_back() override {}
-    void store_read(const directory_word&) override {}
+    void store_read(const directory_update&) override {}
 
     void tenure_changed(std::optional<placement_tenure> held) override
     {
