--- a/src/core/dissemination/copy_provider.cpp
+++ b/src/core/dissemination/copy_provider.cpp
@@ -18,23 +18,24 @@
 }
 
 std::shared_ptr<const directory_copy> copy_provider::make_copy(
-    const copy_request& ask, const topic_state& state, instant now)
+    const copy_request& request, const topic_state& state, instant now)
 {
     if (state.age_us < 0)
         return nullptr;
     directory_copy copy;
     copy.state = state;
-    const bool has_newer = !ask.knows_any || state.next > ask.next;
-    if (has_newer && ask.topic == directory_topic::registry)
+    const bool has_newer = !request.knows_any || state.next > request.next;
+    if (has_newer && request.topic == directory_topic::registry)
     {
-        auto newer_changes =
-            ask.knows_any ? this->registry.since(ask.next) : std::nullopt;
+        auto newer_changes = request.knows_any
+                                 ? this->registry.since(request.next)
+                                 : std::nullopt;
         if (!newer_changes)
             return this->full_copy(state, now);
         copy.is_whole = false;
         copy.servers = std::move(*newer_changes);
     }
-    if (has_newer && ask.topic == directory_topic::deployment)
+    if (has_newer && request.topic == directory_topic::deployment)
     {
         copy.configuration = this->configuration;
         copy.offset = this->configuration_offset;
--- a/src/core/dissemination/copy_provider.hpp
+++ b/src/core/dissemination/copy_provider.hpp
@@ -34,8 +34,8 @@
 
     /// @param state How far this router knows the requested topic.
     /// @return      Null when this router knows nothing of the topic.
-    std::shared_ptr<const directory_copy>
-    make_copy(const copy_request& ask, const topic_state& state, instant now);
+    std::shared_ptr<const directory_copy> make_copy(
+        const copy_request& request, const topic_state& state, instant now);
 
 private:
     std::shared_ptr<const directory_copy>
--- a/src/core/dissemination/copy_source_selector.hpp
+++ b/src/core/dissemination/copy_source_selector.hpp
@@ -51,8 +51,9 @@
     explicit copy_source_selector(options settings);
 
     /// Sets the known routers.
-    /// @param routers All routers that announced themselves; may include
-    /// `self`.
+    /// @param self    This router.
+    /// @param routers All routers that announced themselves, perhaps with
+    ///                this one.
     void
     routers_listed(const copy_source& self, std::vector<copy_source> routers);
 
@@ -63,8 +64,9 @@
         return this->is_first;
     }
 
-    /// @param since When a router without any data began to request copies.
-    /// @return      Whether it continues to do so instead of reading the store.
+    /// @param since When this router began to request copies, having no data.
+    /// @return      Whether it still requests copies instead of reading the
+    ///              store.
     bool awaits_copy(instant since, instant now) const
     {
         return now - since <
@@ -90,16 +92,14 @@
     };
 
     options settings;
-    std::vector<std::string>
-        first_reader_addresses;        ///< addresses of first readers
-    weighted_routers same_data_centre; ///< routers of this data centre
-    weighted_routers all_routers;      ///< routers of all data centres
+    std::vector<std::string> first_reader_addresses;
+    weighted_routers same_data_centre;
+    weighted_routers all_routers; ///< of all data centres
     bool is_first = true;
     /// How often the number of first readers doubles until it exceeds the
     /// number of routers ahead of this one.
     int doublings = 0;
-    std::size_t request_count =
-        0; ///< number of routers returned by `next` so far
+    std::size_t request_count = 0; ///< routers returned by `next` so far
     std::mt19937_64 random;
 };
 
--- a/src/core/dissemination/directory_update.cpp
+++ b/src/core/dissemination/directory_update.cpp
@@ -5,25 +5,25 @@
 namespace roseworks
 {
 
-std::size_t changes_bytes(const directory_update& word)
+std::size_t changes_bytes(const directory_update& update)
 {
     std::size_t sum = 0;
-    for (const registry_change& change : word.changes)
+    for (const registry_change& change : update.changes)
         sum += change.bytes();
     return sum;
 }
 
 std::vector<directory_update>
-split(const directory_update& word, std::size_t room)
+split(const directory_update& update, std::size_t max_bytes)
 {
-    directory_update part = word;
+    directory_update part = update;
     part.changes.clear();
     std::vector<directory_update> parts;
     std::size_t used = 0;
-    for (const registry_change& change : word.changes)
+    for (const registry_change& change : update.changes)
     {
         const std::size_t bytes = change.bytes();
-        if (!part.changes.empty() && used + bytes > room)
+        if (!part.changes.empty() && used + bytes > max_bytes)
         {
             part.registry.next = part.changes.back().offset + 1;
             parts.push_back(part);
@@ -34,7 +34,7 @@
         part.changes.push_back(change);
         used += bytes;
     }
-    part.registry.next = word.registry.next;
+    part.registry.next = update.registry.next;
     parts.push_back(std::move(part));
     return parts;
 }
--- a/src/core/dissemination/directory_update.hpp
+++ b/src/core/dissemination/directory_update.hpp
@@ -55,16 +55,16 @@
 };
 
 /// @return The approximate encoded size of all changes.
-std::size_t changes_bytes(const directory_update& word);
+std::size_t changes_bytes(const directory_update& update);
 
 /** Splits an update that is too large for one datagram. Each part covers a
     range of offsets of the registry, so that a receiver detects a lost part as
     a gap.
 
-    @param room Maximum size of the changes of a part in bytes. A change that is
-                larger is sent in a part of its own.
+    @param max_bytes Maximum size of the changes of a part. A change that is
+                     larger is sent in a part of its own.
 */
 std::vector<directory_update>
-split(const directory_update& word, std::size_t room);
+split(const directory_update& update, std::size_t max_bytes);
 
 } // namespace roseworks
--- a/src/core/dissemination/topic_progress.hpp
+++ b/src/core/dissemination/topic_progress.hpp
@@ -47,9 +47,9 @@
         @param from  The first offset that is announced.
         @param next  The offset after the last one that is announced.
         @param as_of As in `read`.
-        @return      The first announced offset that is new to this router;
-       empty if none is new or there is a gap before the announced offsets.
-       Without a gap, all before `next` counts as known.
+        @return      The first announced offset that is new to this router.
+                     Empty if none is new, or if there is a gap before `from`.
+                     Without a gap, all before `next` is known from now on.
     */
     std::optional<std::uint64_t>
     apply_announcement(std::uint64_t from, std::uint64_t next, instant as_of);
--- a/src/core/membership/update_queue.cpp
+++ b/src/core/membership/update_queue.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// An update is sent so often per bit of the number of members.
+/// An update is sent this many times for each bit of `members + 1`.
 constexpr std::uint32_t retransmit_multiplier = 3;
 
 } // namespace
--- a/src/core/routing/balancer.cpp
+++ b/src/core/routing/balancer.cpp
@@ -14,9 +14,9 @@
 constexpr double affinity_bound = 1.25;
 
 /// Backends in this router's data centre are preferred up to this multiple of
-/// the mean load, plus `near_slack` requests. With one of three replicas in the
-/// data centre and 60 routers, this lowers the load of the busiest engine from
-/// 3.1 to 2.7 times the mean.
+/// the mean load, plus `local_load_slack` requests. With one of three replicas
+/// in the data centre and 60 routers, this lowers the load of the busiest
+/// engine from 3.1 to 2.7 times the mean.
 constexpr double local_load_bound = 1.25;
 constexpr double local_load_slack = 2;
 
@@ -196,8 +196,8 @@
         {
             return !has_slot(all[i], query.max_streams, loads, now);
         });
-    // A valid permit was requested for one of the waiting requests and is used
-    // first: it counts against the server's limit, used or not.
+    // A valid permit was requested for one of these requests and counts towards
+    // the server's limit already, so it is used first.
     const auto with_permit = std::ranges::find_if(
         candidates,
         [&](std::size_t i)
@@ -281,7 +281,8 @@
                (left_load == right_load && ranks_higher(left, right));
     };
 
-    // Stale information is used only if the backend by hash is overloaded.
+    // Stale information is used only if the backend that the prefix hashes to
+    // is overloaded or has no free slot.
     std::optional<std::size_t> fresh;
     std::optional<std::size_t> stale;
     std::size_t hash_owner = near.front();
--- a/src/core/routing/prefix_map.hpp
+++ b/src/core/routing/prefix_map.hpp
@@ -19,9 +19,9 @@
     Events arrive late and some are lost. A gap in an engine's sequence numbers
     marks all prefixes of this engine as stale; the next event that names a
     prefix makes it fresh again. The prefixes of an engine that sent no report
-    for `silence` are stale until its next report without a gap. All prefixes of
-    an engine are discarded when it restarts or its events are read from the
-    start.
+    for `stale_after` are stale until its next report without a gap. All
+    prefixes of an engine are discarded when it restarts or when its events are
+    read from the start.
 
     The size is bounded: the least recently reported prefixes are evicted first.
     When the limit for all engines is reached, a prefix of the reporting engine
--- a/src/core/routing/server_loads.hpp
+++ b/src/core/routing/server_loads.hpp
@@ -33,10 +33,12 @@
     std::uint32_t own = 0;     ///< requests of this router in flight
     std::uint32_t foreign = 0; ///< requests of others at the last report
     instant reported = instant::min();
-    ticket exclusive; ///< suspect request that runs alone on the server
-    ticket
-        reserved_by; ///< suspect request that waits for the server to be idle
-    server_permits permits; ///< permits, if the server has a rate limit
+    /// The suspect request that runs alone on the server.
+    ticket exclusive;
+    /// The suspect request that waits for the server to be idle.
+    ticket reserved_by;
+    /// Used if the server has a rate limit.
+    server_permits permits;
 };
 
 /** The loads of the backend servers: their reports, which lag behind, corrected
--- a/src/core/routing/server_permits.hpp
+++ b/src/core/routing/server_permits.hpp
@@ -44,9 +44,8 @@
         return this->is_requested && now - this->requested_at < answer_timeout;
     }
 
-    /// @return When the result of `must_request` or `may_send` may change by
-    /// the
-    ///         passing of time alone.
+    /// @return When the result of `must_request` or `may_send` may change next
+    ///         without a call of this object.
     std::optional<instant> changes_at() const;
 
     /// @return The estimated time until a request may be sent.
@@ -58,7 +57,10 @@
     /// A permit was requested.
     /// @param waits Whether a request waits that no other server can take.
     void requested(bool waits, instant now);
+    /// @param from When the permit becomes valid.
     void granted(instant from);
+
+    /// @param retry When a permit may be requested again.
     void refused(instant retry);
 
     /// A request was sent and used the permit.
@@ -79,7 +81,7 @@
     bool is_requested = false;
     std::optional<instant> valid_from;    ///< start of the permit's validity
     instant retry_at = instant::min();    ///< earliest time of the next request
-    duration average_interval{};          ///< moving average
+    duration average_interval{};          ///< between permits, while waiting
     std::optional<instant> waiting_since; ///< since when a request waits
     instant requested_at;
 };
--- a/tests/unit/dissemination/test_registry_change_tracker.cpp
+++ b/tests/unit/dissemination/test_registry_change_tracker.cpp
@@ -108,11 +108,11 @@
     loaded.holdings.resident = {{"m2", {"a1", "a4"}}, {"m3", {}}};
     reader.read(loaded);
     const auto changes = reader.take_unannounced();
-    const auto heard = receiver.apply_announced(changes.at(0));
-    cr_assert(heard.has_value());
-    cr_assert_eq(heard->address, loaded.address);
-    cr_assert_eq(heard->heard, 8);
-    cr_assert(heard->holdings.resident == loaded.holdings.resident);
+    const auto applied = receiver.apply_announced(changes.at(0));
+    cr_assert(applied.has_value());
+    cr_assert_eq(applied->address, loaded.address);
+    cr_assert_eq(applied->heard, 8);
+    cr_assert(applied->holdings.resident == loaded.holdings.resident);
     receiver.read(loaded);
     cr_assert(receiver.take_unannounced().empty());
 }
@@ -134,20 +134,20 @@
 
 Test(directory_update, the_parts_of_a_split_update_leave_no_gap)
 {
-    directory_update word;
-    word.registry_from = 100;
-    word.registry = {200, 5};
+    directory_update update;
+    update.registry_from = 100;
+    update.registry = {200, 5};
     for (std::uint64_t i = 0; i < 7; ++i)
-        word.changes.push_back(
+        update.changes.push_back(
             {110 + 10 * i, registry_change::kind::whole, engine(0)});
-    const std::size_t room = 3 * word.changes[0].bytes();
-    const auto parts = split(word, room);
+    const std::size_t max_bytes = 3 * update.changes[0].bytes();
+    const auto parts = split(update, max_bytes);
     cr_assert_eq(parts.size(), 3);
     std::uint64_t from = 100;
     std::size_t changes = 0;
     for (const directory_update& part : parts)
     {
-        cr_assert_leq(changes_bytes(part), room);
+        cr_assert_leq(changes_bytes(part), max_bytes);
         cr_assert_eq(part.registry_from, from);
         for (const registry_change& change : part.changes)
         {
@@ -163,10 +163,10 @@
 
 Test(directory_update, an_update_without_changes_is_not_split)
 {
-    directory_update word;
-    word.registry_from = 7;
-    word.registry = {9, 5};
-    const auto parts = split(word, 3);
+    directory_update update;
+    update.registry_from = 7;
+    update.registry = {9, 5};
+    const auto parts = split(update, 3);
     cr_assert_eq(parts.size(), 1);
     cr_assert_eq(parts[0].registry_from, 7);
     cr_assert_eq(parts[0].registry.next, 9);
