--- a/src/core/request/dispatcher_permits.cpp
+++ b/src/core/request/dispatcher_permits.cpp
@@ -102,7 +102,7 @@
 
 bool dispatcher::impl::permit_withdrawn(const server_place& server)
 {
-    return this->loads.at(detail::key_of(server)).permits.release();
+    return this->loads.at(detail::key_of(server)).permits.revoke();
 }
 
 void dispatcher::impl::ask_for_permit(
--- a/src/core/routing/server_permits.cpp
+++ b/src/core/routing/server_permits.cpp
@@ -90,7 +90,7 @@
     this->retry_at = retry;
 }
 
-bool server_permits::release()
+bool server_permits::revoke()
 {
     return std::exchange(this->valid_from, std::nullopt).has_value();
 }
--- a/src/core/routing/server_permits.hpp
+++ b/src/core/routing/server_permits.hpp
@@ -69,9 +69,9 @@
         this->valid_from.reset();
     }
 
-    /// Gives the permit up.
+    /// Revokes a permit that no request was sent under.
     /// @return Whether there was one.
-    bool release();
+    bool revoke();
 
 private:
     /// A permit is requested again if no answer came within this time.
