--- a/src/core/dissemination/directory_update.hpp
+++ b/src/core/dissemination/directory_update.hpp
@@ -13,8 +13,8 @@
 struct topic_state
 {
     std::uint64_t next = 0; ///< the offset after the last known record
-    /// How long ago all records before `next` were known to be all there are;
-    /// negative: nothing is known.
+    /// Time since the data was known to be complete up to `next`; negative:
+    /// nothing is known.
     std::int64_t age_us = -1;
 
     template <class Archive>
--- a/src/core/dissemination/topic_progress.hpp
+++ b/src/core/dissemination/topic_progress.hpp
@@ -32,7 +32,7 @@
 
     /// This router has read the topic.
     /// @param next  The offset to read from next.
-    /// @param as_of All records before `next` were known at this time.
+    /// @param as_of When the data was known to be complete up to `next`.
     void read(std::uint64_t next, instant as_of);
 
     /// Another router sent a copy of the whole topic. Unlike after `read`,
--- a/tests/unit/dissemination/test_copy_source_selector.cpp
+++ b/tests/unit/dissemination/test_copy_source_selector.cpp
@@ -18,7 +18,7 @@
     return {name, "address-of-" + name, capacity};
 }
 
-/// @param strong The first so many are stronger than the rest.
+/// @param strong The number of routers, at the front, with a higher capacity.
 std::vector<copy_source> routers(int count, int strong)
 {
     std::vector<copy_source> all;
