--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -57,7 +57,7 @@
         const connection_loss_report& word) override;
     void send(
         std::span<const std::string> addresses,
-        const directory_word& word) override;
+        const directory_update& word) override;
     void send(
         std::span<const std::string> addresses,
         const server_limit_update& word) override;
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -315,7 +315,7 @@
     this->take_break(word);
 }
 
-void gateway_control::directory_word_heard(const directory_word& word)
+void gateway_control::directory_word_heard(const directory_update& word)
 {
     this->directory->word_heard(word);
 }
@@ -506,7 +506,7 @@
     this->desk->store_back();
 }
 
-void gateway_control::store_read(const directory_word& word)
+void gateway_control::store_read(const directory_update& word)
 {
     this->peers->send(this->other_addresses(), word);
 }
--- a/src/core/dissemination/registry_changes.cpp
+++ b/src/core/dissemination/registry_change_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/dissemination/registry_changes.hpp"
+#include "core/dissemination/registry_change_tracker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -11,21 +11,21 @@
 
 server_entry without_copies(const server_entry& entry)
 {
-    server_entry made = entry;
-    made.holdings.in_memory.clear();
-    made.holdings.on_disk.clear();
-    made.holdings.copies_known = false;
-    return made;
+    server_entry result = entry;
+    result.holdings.in_memory.clear();
+    result.holdings.on_disk.clear();
+    result.holdings.copies_known = false;
+    return result;
 }
 
 registry_change gone_change(std::string_view id, std::uint64_t offset)
 {
-    registry_change made{offset, registry_change::kind::gone, {}};
-    made.entry.id = id;
-    return made;
+    registry_change result{offset, registry_change::kind::gone, {}};
+    result.entry.id = id;
+    return result;
 }
 
-/// @return Whether two entries differ in nothing but their models.
+/// @return Whether two entries differ in their models at most.
 bool same_but_models(const server_entry& before, const server_entry& now)
 {
     server_entry moved = now;
@@ -35,74 +35,76 @@
 
 } // namespace
 
-void registry_changes::listed(std::span<const server_entry> all)
+void registry_change_tracker::listed(std::span<const server_entry> all)
 {
     this->known.clear();
-    this->collected.clear();
-    // What was to be told isn't known any more.
-    this->first_untold.reset();
+    this->pending.clear();
+    // The pending changes were discarded, so they must not be announced as
+    // complete from this offset on.
+    this->first_unannounced.reset();
     this->removals.clear();
     this->removals_from.reset();
     for (const server_entry& entry : all)
         this->known.insert_or_assign(entry.id, without_copies(entry));
 }
 
-void registry_changes::listed_as_of(std::uint64_t offset)
+void registry_change_tracker::set_listing_offset(std::uint64_t offset)
 {
     if (!this->removals_from)
         this->removals_from = offset;
 }
 
-void registry_changes::read(const server_entry& entry)
+void registry_change_tracker::read(const server_entry& entry)
 {
     using enum registry_change::kind;
-    server_entry told = without_copies(entry);
+    server_entry routing_entry = without_copies(entry);
     const auto found = this->known.find(entry.id);
     const bool is_known = found != this->known.end();
-    if (is_known && found->second == told)
+    if (is_known && found->second == routing_entry)
         return;
-    const bool models_only = is_known && same_but_models(found->second, told);
-    this->known.insert_or_assign(entry.id, told);
-    this->collect(
-        {told.registry_revision,
+    const bool models_only =
+        is_known && same_but_models(found->second, routing_entry);
+    this->known.insert_or_assign(entry.id, routing_entry);
+    this->add_pending(
+        {routing_entry.registry_revision,
          models_only ? models : whole,
-         std::move(told)});
+         std::move(routing_entry)});
 }
 
-void registry_changes::removed(std::string_view id, std::uint64_t offset)
+void registry_change_tracker::removed(std::string_view id, std::uint64_t offset)
 {
     const auto found = this->known.find(id);
     if (found != this->known.end())
         this->known.erase(found);
     this->remember_removal(id, offset);
-    this->collect(gone_change(id, offset));
+    this->add_pending(gone_change(id, offset));
 }
 
-void registry_changes::collect(registry_change change)
+void registry_change_tracker::add_pending(registry_change change)
 {
     using enum registry_change::kind;
-    const auto before = this->collected.find(change.entry.id);
-    const bool more_changed = before != this->collected.end() &&
-                              before->second.what != models &&
-                              change.what == models;
-    if (more_changed)
+    const auto before = this->pending.find(change.entry.id);
+    const bool full_entry_pending = before != this->pending.end() &&
+                                    before->second.what != models &&
+                                    change.what == models;
+    if (full_entry_pending)
         change.what = whole;
-    this->collected.insert_or_assign(change.entry.id, std::move(change));
+    this->pending.insert_or_assign(change.entry.id, std::move(change));
 }
 
-std::vector<registry_change> registry_changes::all() const
+std::vector<registry_change> registry_change_tracker::all() const
 {
     std::vector<registry_change> entries;
     entries.reserve(this->known.size());
     for (const auto& [id, entry] : this->known)
         entries.push_back(
             {entry.registry_revision, registry_change::kind::whole, entry});
-    for (const removal& one : this->removals)
-        entries.push_back(gone_change(one.id, one.offset));
+    for (const removal& item : this->removals)
+        entries.push_back(gone_change(item.id, item.offset));
     return entries;
 }
 
-void registry_changes::remember(
+void registry_change_tracker::import_removals(
     std::uint64_t from, std::span<const registry_change> changed)
 {
     this->removals_from = from;
@@ -113,19 +115,19 @@
     }
 }
 
-void registry_changes::remember_removal(
+void registry_change_tracker::remember_removal(
     std::string_view id, std::uint64_t offset)
 {
-    constexpr std::size_t most_removals = 512;
+    constexpr std::size_t max_removals = 512;
     this->removals.push_back({std::string(id), offset});
-    if (this->removals.size() <= most_removals)
+    if (this->removals.size() <= max_removals)
         return;
     this->removals_from = this->removals.front().offset + 1;
     this->removals.pop_front();
 }
 
 std::optional<std::vector<registry_change>>
-registry_changes::since(std::uint64_t offset) const
+registry_change_tracker::since(std::uint64_t offset) const
 {
     if (!this->removals_from || offset < *this->removals_from)
         return std::nullopt;
@@ -136,35 +138,35 @@
             changes.push_back(
                 {entry.registry_revision, registry_change::kind::whole, entry});
     }
-    for (const removal& one : this->removals)
+    for (const removal& item : this->removals)
     {
-        if (one.offset < offset || this->known.contains(one.id))
+        if (item.offset < offset || this->known.contains(item.id))
             continue;
-        changes.push_back(gone_change(one.id, one.offset));
+        changes.push_back(gone_change(item.id, item.offset));
     }
     std::ranges::sort(changes, {}, &registry_change::offset);
     return changes;
 }
 
-void registry_changes::to_tell_from(std::uint64_t offset)
+void registry_change_tracker::mark_unannounced_from(std::uint64_t offset)
 {
-    if (!this->first_untold)
-        this->first_untold = offset;
+    if (!this->first_unannounced)
+        this->first_unannounced = offset;
 }
 
-bool registry_changes::only_models() const
+bool registry_change_tracker::only_model_changes() const
 {
-    return !this->collected.empty() &&
+    return !this->pending.empty() &&
            std::ranges::all_of(
-               this->collected,
-               [](const auto& one)
+               this->pending,
+               [](const auto& item)
                {
-                   return one.second.what == registry_change::kind::models;
+                   return item.second.what == registry_change::kind::models;
                });
 }
 
 std::optional<server_entry>
-registry_changes::told(const registry_change& change)
+registry_change_tracker::apply_announced(const registry_change& change)
 {
     using enum registry_change::kind;
     const auto found = this->known.find(change.entry.id);
@@ -183,13 +185,13 @@
     return now;
 }
 
-std::vector<registry_change> registry_changes::take()
+std::vector<registry_change> registry_change_tracker::take_unannounced()
 {
     std::vector<registry_change> changes;
-    for (auto& [id, change] : this->collected)
+    for (auto& [id, change] : this->pending)
         changes.push_back(std::move(change));
-    this->collected.clear();
-    this->first_untold.reset();
+    this->pending.clear();
+    this->first_unannounced.reset();
     std::ranges::sort(changes, {}, &registry_change::offset);
     return changes;
 }
--- a/src/core/request/dispatcher_finish.cpp
+++ b/src/core/request/dispatcher_finish.cpp
@@ -369,7 +369,7 @@
         --destination.suspects_running;
         this->shared_server_freed = true;
     }
-    else if (server.held && server.own == 0)
+    else if (server.reserved_by && server.own == 0)
     {
         this->shared_server_freed = true;
     }
--- a/src/core/request/dispatcher_grant.cpp
+++ b/src/core/request/dispatcher_grant.cpp
@@ -176,7 +176,7 @@
     destination.long_in_flight += request.item.long_prompt ? 1 : 0;
     detail::server_state& server = this->loads.at(chosen.server);
     ++server.own;
-    server.pace.sent();
+    server.permits.used();
     if (alone)
     {
         server.exclusive = request.item.id;
@@ -255,7 +255,7 @@
                 now - request.item.enqueued < this->settings.ageing;
             if (!must_yield || request.reserved_server)
             {
-                server.held = id;
+                server.reserved_by = id;
                 request.reserved_server = chosen->server;
             }
             return;
@@ -304,13 +304,13 @@
         const detail::server_state& server = this->loads.at(candidate.server);
         const bool is_unavailable =
             server.exclusive ||
-            (server.held && server.held != request.item.id) ||
-            !server.pace.may_send(now);
+            (server.reserved_by && server.reserved_by != request.item.id) ||
+            !server.permits.may_send(now);
         if (is_unavailable || (has_untried && !is_untried(i)))
         {
             continue;
         }
-        if (server.held == request.item.id)
+        if (server.reserved_by == request.item.id)
         {
             return &candidate;
         }
@@ -332,9 +332,9 @@
         return;
     }
     detail::server_state& server = this->loads.at(*request.reserved_server);
-    if (server.held == id)
+    if (server.reserved_by == id)
     {
-        server.held = ticket{};
+        server.reserved_by = ticket{};
     }
     request.reserved_server.reset();
 }
--- a/src/core/request/dispatcher_permits.cpp
+++ b/src/core/request/dispatcher_permits.cpp
@@ -27,7 +27,8 @@
 void dispatcher::impl::server_limited(
     const server_place& server, double per_second, instant now)
 {
-    detail::server_pace& pace = this->loads.at(detail::key_of(server)).pace;
+    detail::server_permits& pace =
+        this->loads.at(detail::key_of(server)).permits;
     this->limited_server_count -= pace.is_limited() ? 1 : 0;
     pace.limit(per_second);
     this->limited_server_count += pace.is_limited() ? 1 : 0;
@@ -39,7 +40,7 @@
     const server_place& server, instant from, instant now)
 {
     const detail::server_key key = detail::key_of(server);
-    this->loads.at(key).pace.allowed(from);
+    this->loads.at(key).permits.granted(from);
     this->schedule_tick_by(from);
     if (from > now)
     {
@@ -94,7 +95,7 @@
 void dispatcher::impl::permit_refused(
     const server_place& server, duration retry_after, instant now)
 {
-    this->loads.at(detail::key_of(server)).pace.refused(now + retry_after);
+    this->loads.at(detail::key_of(server)).permits.refused(now + retry_after);
     this->schedule_tick_by(now + retry_after);
     this->shared_server_freed = true;
     this->grant_waiting_on_freed_servers(now);
@@ -102,13 +103,13 @@
 
 bool dispatcher::impl::permit_withdrawn(const server_place& server)
 {
-    return this->loads.at(detail::key_of(server)).pace.withdraw();
+    return this->loads.at(detail::key_of(server)).permits.revoke();
 }
 
 void dispatcher::impl::request_permit(
     const detail::backend& candidate, bool waits, instant now)
 {
-    this->loads.at(candidate.server).pace.asked(waits, now);
+    this->loads.at(candidate.server).permits.requested(waits, now);
     this->commands.emplace_back(permit_wanted{
         {candidate.where.engine, candidate.where.address}, waits});
 }
@@ -133,12 +134,13 @@
     }
     for (const detail::backend& candidate : destination.backends)
     {
-        const detail::server_pace* pace = this->loads.pace_of(candidate.server);
+        const detail::server_permits* pace =
+            this->loads.permits_of(candidate.server);
         if (pace == nullptr || !candidate.listed || candidate.leaving)
         {
             continue;
         }
-        if (pace->must_ask(now))
+        if (pace->must_request(now))
         {
             this->request_permit(candidate, true, now);
         }
@@ -164,7 +166,8 @@
     for (const std::size_t i : usable)
     {
         const detail::backend& candidate = destination.backends[i];
-        const detail::server_pace* pace = this->loads.pace_of(candidate.server);
+        const detail::server_permits* pace =
+            this->loads.permits_of(candidate.server);
         if (pace == nullptr)
         {
             continue;
@@ -174,7 +177,7 @@
         {
             return true;
         }
-        if (!is_asked && pace->must_ask(now))
+        if (!is_asked && pace->must_request(now))
         {
             this->request_permit(candidate, false, now);
             request.permit_wait_until = now + permit_answer_timeout;
@@ -198,15 +201,15 @@
     std::optional<duration> next;
     for (const std::size_t i : usable)
     {
-        const detail::server_pace* pace =
-            this->loads.pace_of(destination.backends[i].server);
+        const detail::server_permits* pace =
+            this->loads.permits_of(destination.backends[i].server);
         if (pace == nullptr || !pace->is_limited())
         {
             return {};
         }
-        const std::chrono::duration<double> turn = pace->turn(now);
+        const std::chrono::duration<double> turn = pace->permit_interval(now);
         forecast.permits_per_second += 1 / turn.count();
-        const duration until_permit = pace->next_in(now);
+        const duration until_permit = pace->estimated_wait(now);
         next = std::min(next.value_or(until_permit), until_permit);
     }
     forecast.until_first = next.value_or(duration::zero());
--- a/src/core/request/target.cpp
+++ b/src/core/request/target.cpp
@@ -140,7 +140,7 @@
         }
     }
     const std::size_t reserved_slots =
-        batch ? kept_for_better(this->max_streams) : 0;
+        batch ? slots_reserved_from_batch(this->max_streams) : 0;
     return total > reserved_slots ? total - reserved_slots : total;
 }
 
--- /dev/null
+++ b/src/core/routing/server_permits.cpp
@@ -0,0 +1,98 @@
+#include "core/routing/server_permits.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace roseworks::detail
+{
+
+namespace
+{
+
+/// If no permit was requested for so long, no request has been waiting for the
+/// server in between.
+constexpr duration idle_after = std::chrono::seconds(2);
+
+} // namespace
+
+void server_permits::limit(double requests)
+{
+    const bool toggled = (requests > 0) != this->is_limited();
+    if (toggled)
+        *this = server_permits();
+    this->per_second = requests;
+    if (toggled && requests > 0)
+        this->average_interval = std::chrono::duration_cast<duration>(
+            std::chrono::duration<double>(1 / requests));
+}
+
+std::optional<instant> server_permits::changes_at() const
+{
+    if (!this->is_limited())
+        return std::nullopt;
+    if (this->is_requested)
+        return this->requested_at + answer_timeout;
+    return this->valid_from ? *this->valid_from : this->retry_at;
+}
+
+duration server_permits::permit_interval(instant now) const
+{
+    const duration waited =
+        this->waiting_since ? now - *this->waiting_since : duration::zero();
+    return std::max(this->average_interval, waited);
+}
+
+duration server_permits::estimated_wait(instant now) const
+{
+    const auto until = [now](instant when)
+    {
+        return std::max<duration>(when - now, duration::zero());
+    };
+    if (this->valid_from)
+        return until(*this->valid_from);
+    const duration retry = this->is_requested || this->retry_at <= now
+                               ? duration::zero()
+                               : until(this->retry_at);
+    if (!this->waiting_since)
+        return retry;
+    // An overdue permit is expected after half an average interval, not now.
+    const duration left = std::max(
+        until(*this->waiting_since + this->average_interval),
+        this->average_interval / 2);
+    return std::max(retry, left);
+}
+
+void server_permits::requested(bool waits, instant now)
+{
+    const bool restarted =
+        !this->waiting_since || now - this->requested_at >= idle_after;
+    if (waits && restarted)
+        this->waiting_since = now;
+    this->is_requested = true;
+    this->requested_at = now;
+}
+
+void server_permits::granted(instant from)
+{
+    this->is_requested = false;
+    if (!this->is_limited())
+        return;
+    this->valid_from = from;
+    if (this->waiting_since)
+        this->average_interval =
+            (this->average_interval + (from - *this->waiting_since)) / 2;
+    this->waiting_since.reset();
+}
+
+void server_permits::refused(instant retry)
+{
+    this->is_requested = false;
+    this->retry_at = retry;
+}
+
+bool server_permits::revoke()
+{
+    return std::exchange(this->valid_from, std::nullopt).has_value();
+}
+
+} // namespace roseworks::detail
--- a/tests/unit/gateway/test_pace_desk.cpp
+++ b/tests/unit/gateway/test_pace_desk.cpp
@@ -36,7 +36,7 @@
     send(std::span<const std::string>, const connection_loss_report&) override
     {
     }
-    void send(std::span<const std::string>, const directory_word&) override {}
+    void send(std::span<const std::string>, const directory_update&) override {}
     void send(std::span<const std::string>, const server_limit_update&) override
     {
     }
--- a/tests/unit/users_platform/test_copy_exchange.cpp
+++ b/tests/unit/users_platform/test_copy_exchange.cpp
@@ -25,7 +25,7 @@
 {
 public:
     std::shared_ptr<const directory_copy>
-    copy_for(const copy_ask& request) override
+    copy_for(const copy_request& request) override
     {
         this->requested = request;
         if (!this->has_data)
@@ -42,7 +42,7 @@
     }
 
     bool has_data = true;
-    std::optional<copy_ask> requested;
+    std::optional<copy_request> requested;
 };
 
 std::string to_text(const tcp::endpoint& endpoint)
@@ -76,7 +76,7 @@
         return result;
     }
 
-    std::optional<directory_copy> fetch(const copy_ask& request)
+    std::optional<directory_copy> fetch(const copy_request& request)
     {
         std::optional<directory_copy> received;
         bool is_done = false;
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -107,7 +107,7 @@
 
     void fetch(
         std::string_view address,
-        const copy_ask& request,
+        const copy_request& request,
         copy_done done) override
     {
         this->requested.emplace_back(address);
@@ -167,7 +167,7 @@
     void directory_lost() override {}
     void directory_back() override {}
     void registry_back() override {}
-    void store_read(const directory_word&) override {}
+    void store_read(const directory_update&) override {}
 
     std::uint64_t version = 0;
     std::vector<bool> behind;
@@ -267,7 +267,7 @@
         });
     test.copies.next = 6;
     test.copies.version = 8;
-    directory_word update;
+    directory_update update;
     update.deployment = {6, 10};
     test.directory.word_heard(update);
     test.run_until(
@@ -294,7 +294,7 @@
     test.copies.next = 4;
     test.copies.version = 9;
     const std::size_t before = test.copies.requested.size();
-    directory_word update;
+    directory_update update;
     update.deployment = {6, 10};
     update.registry = {8, 10};
     update.registry_from = 7;
@@ -345,7 +345,7 @@
     test.copies.provides = false;
     const int refused = test.store.refused;
     const std::size_t requested = test.copies.requested.size();
-    directory_word update;
+    directory_update update;
     update.deployment = {6, 10};
     test.directory.word_heard(update);
     test.run_until(
@@ -374,7 +374,7 @@
             return test.listener.version == 7;
         });
     const int refused = test.store.refused;
-    directory_word update;
+    directory_update update;
     update.deployment = {6, 10};
     test.copies.provides = false;
     test.directory.word_heard(update);
--- a/tests/unit/users_platform/test_directory_updates.cpp
+++ b/tests/unit/users_platform/test_directory_updates.cpp
@@ -62,7 +62,7 @@
         ++this->recoveries;
     }
 
-    void store_read(const directory_word& update) override
+    void store_read(const directory_update& update) override
     {
         this->sent.push_back(update);
     }
@@ -72,7 +72,7 @@
     int recoveries = 0;
     std::vector<server_entry> read;
     std::vector<std::string> removed;
-    std::vector<directory_word> sent;
+    std::vector<directory_update> sent;
 };
 
 /// A directory that has listed the registry. Unless a test shortens the maximum
@@ -134,9 +134,9 @@
 };
 
 /// @param from First offset of the update; listings of the fake store end at 1.
-directory_word make_update(std::uint64_t from, std::uint64_t next)
+directory_update make_update(std::uint64_t from, std::uint64_t next)
 {
-    directory_word result;
+    directory_update result;
     result.registry_from = from;
     result.registry = {next, 100};
     return result;
@@ -155,7 +155,7 @@
 Test(directory_updates, changes_in_an_update_are_applied)
 {
     directory_fixture test;
-    directory_word update = make_update(1, 10);
+    directory_update update = make_update(1, 10);
     update.changes = {make_change(3, "e1", false), make_change(4, "e2", true)};
     test.directory.word_heard(update);
     cr_assert_eq(test.listener.read.size(), 1);
@@ -170,7 +170,7 @@
 Test(directory_updates, a_repeated_change_is_ignored)
 {
     directory_fixture test;
-    directory_word update = make_update(1, 5);
+    directory_update update = make_update(1, 5);
     update.changes = {make_change(2, "e1", true)};
     test.directory.word_heard(update);
     test.directory.word_heard(update);
@@ -185,7 +185,7 @@
 {
     directory_fixture test;
     const int before = test.store.reads();
-    directory_word update = make_update(8, 9);
+    directory_update update = make_update(8, 9);
     update.changes = {make_change(8, "e1", false)};
     test.directory.word_heard(update);
     cr_assert(test.listener.read.empty());
@@ -199,11 +199,11 @@
 Test(directory_updates, the_end_of_a_store_outage_is_reported_once)
 {
     directory_fixture test;
-    directory_word update = make_update(1, 2);
-    update.back_for_us = 1000;
+    directory_update update = make_update(1, 2);
+    update.outage_ended_us_ago = 1000;
     test.directory.word_heard(update);
     update = make_update(2, 3);
-    update.back_for_us = 400'000;
+    update.outage_ended_us_ago = 400'000;
     test.directory.word_heard(update);
     cr_assert_eq(test.listener.recoveries, 1);
 }
@@ -219,7 +219,7 @@
         {
             return !test.listener.sent.empty();
         });
-    const directory_word& update = test.listener.sent.front();
+    const directory_update& update = test.listener.sent.front();
     cr_assert_eq(update.registry.next, 1);
     cr_assert_geq(update.registry.age_us, 0);
     cr_assert_eq(update.registry_from, 1);
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -37,7 +37,7 @@
         this->breaks.push_back(update);
     }
 
-    void directory_word_heard(const directory_word& update) override
+    void directory_word_heard(const directory_update& update) override
     {
         this->directories.push_back(update);
     }
@@ -61,7 +61,7 @@
     std::vector<quota_query> asks;
     std::vector<quota_reply> answers;
     std::vector<router_report> routers;
-    std::vector<directory_word> directories;
+    std::vector<directory_update> directories;
     std::vector<owner_announcement> owners;
     std::vector<connection_loss_report> breaks;
 };
@@ -186,10 +186,10 @@
     recording_listener listener;
     receiver.start(listener);
     using enum registry_change::kind;
-    directory_word update;
+    directory_update update;
     update.registry_from = 10;
     update.registry = {50, 700};
-    update.back_for_us = 30;
+    update.outage_ended_us_ago = 30;
     for (std::uint64_t i = 0; i < 9; ++i)
     {
         registry_change change{
@@ -218,10 +218,10 @@
     cr_assert_geq(listener.directories.size(), 2);
     std::vector<registry_change> changes;
     std::uint64_t from = 10;
-    for (const directory_word& part : listener.directories)
+    for (const directory_update& part : listener.directories)
     {
         cr_assert_eq(part.registry_from, from);
-        cr_assert_eq(part.back_for_us, 30);
+        cr_assert_eq(part.outage_ended_us_ago, 30);
         from = part.registry.next;
         changes.insert(changes.end(), part.changes.begin(), part.changes.end());
     }
