--- a/src/adapters/forward/event_cutter.hpp
+++ b/src/adapters/forward/event_cutter.hpp
@@ -8,37 +8,40 @@
 namespace roseworks::forward
 {
 
-/** Cuts a server-sent-event stream into whole events, byte for byte.
+/** Splits a stream of server-sent events into complete events without changing
+    their bytes.
 
-    Only whole events are passed on, so that the events of another run can
-    follow without a piece of one glued between.
+    A resumable stream is forwarded in complete events only. When it continues
+    on another server, no fragment of an interrupted event precedes the events
+    of that server.
 */
 class event_cutter
 {
 public:
-    /// @param max_event_bytes the largest event that is taken.
+    /// @param max_event_bytes Largest event that is accepted.
     explicit event_cutter(std::size_t max_event_bytes)
         : limit(max_event_bytes)
     {
     }
 
-    /// Takes bytes as they come.
-    /// @return Whole events that these bytes completed; empty when none.
+    /// Appends received bytes.
+    /// @return The events that these bytes complete; empty if there are none.
     std::string feed(std::string_view bytes);
 
-    /// @return What is left of an event that wasn't completed.
+    /// Removes the bytes of the incomplete event.
+    /// @return These bytes.
     std::string take_rest();
 
-    /// A new run follows: forgets the unfinished event.
+    /// Discards the incomplete event before the response of another attempt.
     void restart();
 
-    /// @return Whether an event is larger than the limit.
+    /// @return Whether the incomplete event is larger than the limit.
     bool overrun() const
     {
         return this->pending.size() > this->limit;
     }
 
-    /// @return The id of the last whole event, empty before the first.
+    /// @return The ID of the latest complete event that has one; empty if none.
     const std::string& last_id() const
     {
         return this->id;
--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -22,10 +22,11 @@
 
 using end_kind = attempt_result::end;
 
-/// A route's rank that goes before all else while requests wait.
+/// Requests of this rank go ahead of all others in the admission queue.
 constexpr std::uint8_t urgent_rank = 0;
 
-/// Sent and not answered for longer, a request counts as having waited.
+/// A request whose first attempt starts later than this after its arrival
+/// counts as having waited.
 constexpr duration at_once{std::chrono::milliseconds(20)};
 
 std::string_view view(beast::string_view text)
@@ -33,8 +34,8 @@
     return {text.data(), text.size()};
 }
 
-/// Notices that the caller closes its connection while its call runs. Touches
-/// the connection only while the call isn't finished.
+/// Detects that the caller closes its connection during the call. Does not
+/// access the connection after the call has finished.
 asio::awaitable<void>
 watch(edge::caller_connection& caller, std::shared_ptr<edge::call_inbox> inbox)
 {
@@ -315,7 +316,8 @@
 
 unsigned forward_call::engine_rank() const
 {
-    /// Engines know ten ranks: an organisation's goes before a route's.
+    // Engines accept priorities 0 to 9. The organisation's rank takes
+    // precedence over the route's.
     constexpr unsigned route_ranks = 3;
     constexpr unsigned last = 9;
     if (this->organisation.name.empty())
@@ -433,7 +435,8 @@
     this->reason = answer.reason;
     if (this->head_written)
     {
-        // The caller sees that the rest is missing: the last chunk is.
+        // The missing last chunk tells the caller that the response is
+        // truncated.
         this->end = request_end::broken_off;
         this->connection_usable = false;
         co_return;
--- a/src/adapters/forward/forward_call.hpp
+++ b/src/adapters/forward/forward_call.hpp
@@ -18,13 +18,13 @@
 namespace roseworks::forward
 {
 
-/** Takes one request from admission to the last byte of its answer.
+/** Handles one request from admission to the last byte of its response.
 
-    A request that isn't repeatable is sent once at most after a byte of it may
-    have reached a server. A backend server's answer is passed on as it is, or
-    visibly broken off; what comes from another request is dropped. A stream
-    that may go on elsewhere is passed on in whole events and goes on after the
-    last of them.
+    A request that is not repeatable is not sent again once a server may have
+    run it. A backend server's response is forwarded as received, or truncated
+    so that the caller can detect it. A response to another request is dropped.
+    A resumable stream is forwarded in complete events. If its server fails, the
+    stream continues on another server after the last complete event.
 */
 class forward_call
 {
@@ -43,11 +43,11 @@
     forward_call(const forward_call&) = delete;
     forward_call& operator=(const forward_call&) = delete;
 
-    /// Runs the call; once per object.
-    /// @return Whether the connection may carry another request.
+    /// Runs the call. May be called only once.
+    /// @return Whether the connection can carry another request.
     asio::awaitable<bool> run();
 
-    /// The process ends: the call has to, too.
+    /// Interrupts the call because the process shuts down.
     void force_end()
     {
         this->inbox->force_end();
@@ -56,22 +56,25 @@
 private:
     enum class relayed : std::uint8_t
     {
-        whole,       ///< the caller has the whole answer
-        cut,         ///< the server's side broke off
-        late,        ///< the time limit passed
-        caller_gone, ///< the caller doesn't take it
-        interrupted
+        whole,       ///< the whole response was sent to the caller
+        cut,         ///< the server's response ended early
+        late,        ///< the deadline passed
+        caller_gone, ///< sending to the caller failed
+        interrupted  ///< the caller left, or the process shuts down
     };
 
     request_info admission_info() const;
-    /// @return Whether the request may be sent; if not, it has its answer.
+    /// Reserves quota if the organisation has a limit.
+    /// @return Whether the request may be sent. If not, the call is finished.
     asio::awaitable<bool> enter();
     asio::awaitable<void> serve();
     asio::awaitable<bool> attempt(grant where);
     bool may_attempt();
-    /// @return Whether its caller's key was taken away while it waited.
+    /// @return Whether the caller's API key was revoked while the request
+    ///         waited for its first attempt.
     bool key_is_gone(const serving_table& table) const;
-    /// An engine refused the request for want of its model.
+    /// Reports that an engine refused the request because the model was not
+    /// loaded, and waits shortly for the serving table to be updated.
     asio::awaitable<void>
     wait_for_table(const std::string& servable, const std::string& instance);
     unsigned engine_rank() const;
@@ -86,12 +89,12 @@
     asio::awaitable<bool> write_chunk(std::string_view bytes);
     bool joins(const server_exchange& exchange) const;
     void tell_load(const grant& where, const server_exchange& exchange);
-    /// Tells what the answer says of the server's rate limit.
+    /// Reports the rate limit that the server named in its response.
     void tell_limit(const server_exchange& exchange);
     attempt_result result_of(relayed how) const;
     attempt_result result_of(exchange_state state) const;
     asio::awaitable<void> answer_own(own_answer answer);
-    /// The caller left, or the process ends.
+    /// Finishes the call after the caller left or the process shut down.
     asio::awaitable<void> end_interrupted();
     asio::awaitable<void> end_without_answer(dispatcher::finish how);
     void report();
@@ -108,15 +111,16 @@
     std::shared_ptr<edge::call_inbox> inbox;
     ticket place;
     event_cutter events;
-    std::uint32_t attempts = 0;    ///< that may have run
-    std::uint32_t sends = 0;       ///< that reached a server, refused ones too
-    std::string last_server;       ///< id of the last attempt's
-    std::string named_limit;       ///< by the last answer; empty: none
-    bool tokens_set_aside = false; ///< of its organisation's limit
+    std::uint32_t attempts = 0; ///< that may have run the request
+    std::uint32_t sends =
+        0; ///< attempts that sent data, including refused ones
+    std::string last_server;       ///< instance ID, of the last attempt
+    std::string named_limit;       ///< in the last response; empty: none
+    bool tokens_set_aside = false; ///< from the organisation's limit
     bool may_have_run = false;
     bool head_written = false;
-    bool chunked = false; ///< the answer's framing towards the caller
-    unsigned status = 0;  ///< of the answer passed on; 0: none
+    bool chunked = false; ///< the response to the caller is chunked
+    unsigned status = 0;  ///< sent to the caller; 0: none
     bool connection_usable = true;
     request_end end = request_end::failed;
     refusal_reason reason = refusal_reason::none;
--- a/src/adapters/forward/forward_call_relay.cpp
+++ b/src/adapters/forward/forward_call_relay.cpp
@@ -34,7 +34,8 @@
     const bool foreign = !encoding.empty() && encoding != "identity";
     if (foreign || (this->head_written && !this->joins(exchange)))
     {
-        // Not the bytes of the service, or not the rest of the stream.
+        // An encoded body is not what the service produced. After the head was
+        // sent, only an event stream can continue the response.
         attempt_result broken;
         broken.how = end_kind::broken;
         broken.answer_started = this->head_written;
@@ -164,7 +165,8 @@
             co_return relayed::cut;
         if (piece.empty())
         {
-            // What is left isn't a whole event, but the answer is whole.
+            // The response is complete, even if its last bytes are not a
+            // complete event.
             std::string rest =
                 whole_events ? this->events.take_rest() : std::string();
             written = co_await this->write_chunk(rest);
--- a/src/adapters/forward/forward_context.hpp
+++ b/src/adapters/forward/forward_context.hpp
@@ -20,64 +20,70 @@
 namespace roseworks::forward
 {
 
-/// Limits of forwarding beside those of its connections.
+/// Limits of forwarding. `edge::edge_options` has those of connections.
 struct forward_options
 {
-    /// Answers up to this size are read whole before a byte is passed on, so
-    /// that a broken one can be told from a whole one in time.
+    /// Responses up to this size are read completely before the first byte is
+    /// forwarded, so that a broken one is detected before the caller sees it.
+    /// Event streams are not buffered.
     std::size_t collect_bytes = std::size_t(256) << 10;
-    /// Largest event of a stream that is cut into whole events.
+    /// Largest event of a stream.
     std::size_t max_event_bytes = std::size_t(256) << 10;
-    /// Taken off a deadline for the answer's way to the caller.
+    /// Subtracted from the time limit, so that the response can still reach the
+    /// caller in time. At most a tenth of the time limit is subtracted.
     std::chrono::milliseconds answer_margin{20};
-    /// A request without a deadline and without a route's limit.
+    /// Deadline of a request if neither the caller nor the route sets one.
     std::chrono::milliseconds default_deadline{60'000};
-    /// After an engine refused a request: for the table without it.
+    /// Pause after an engine refused a request, until the serving table no
+    /// longer lists the engine for the model.
     std::chrono::milliseconds refused_pause{5};
-    /// Part of a request's objective that it may wait to be within its
-    /// organisation's limit.
+    /// A request may wait for its organisation's limit for the route's
+    /// objective divided by this number.
     int wait_for_limit = 4;
-    /// Retry-After while no configuration is known, or a newer one is there.
+    /// Retry-After while this router has no configuration or an outdated one.
     std::chrono::milliseconds start_retry{500};
-    /// Retry-After of a request that crashes servers: as long as the block.
+    /// Retry-After of a request that is blocked because it crashes servers.
+    /// Same length as the block.
     std::chrono::milliseconds blocked_retry{60'000};
     shared_retry_budget::options retries;
-    std::uint64_t seed = 1; ///< of the choice among split services
+    std::uint64_t seed = 1; ///< of the choice among a route's services
 };
 
-/// What forwarding works with; all of it has to outlive the event loop.
+/// What forwarding depends on. All of it has to outlive the event loop.
 struct forward_dependencies
 {
     dispatch_port& dispatch;
     quota_port& limits;
     std::function<serving_table_ptr()> table; ///< newest; null: none yet
-    std::function<std::size_t()> routers;     ///< alive, this one included
-    /// An engine told its load with an answer.
+    std::function<std::size_t()> routers;     ///< live ones, including this one
+    /// An engine reported its load in a response.
     std::function<void(const load_report&)> load_told;
-    /// A request for a servable was sent to an engine, or has ended there.
+    /// An attempt of a request for a servable on an engine begins or has ended.
     std::function<void(const std::string& servable, const std::string& engine)>
         run_started;
     std::function<void(const std::string& servable, const std::string& engine)>
         run_ended;
-    /// An engine didn't run a request for a servable that it was to hold.
+    /// An engine refused a request for a servable that the serving table lists
+    /// on it.
     std::function<void(const std::string& servable, const std::string& engine)>
         run_refused;
     /// No connection to a server could be opened.
     std::function<void(const std::string& server)> unreached;
-    /// A connection broke under a request that a server had begun.
+    /// A connection broke after a request was sent to the server.
     std::function<void(const std::string& server, fingerprint)> broken;
-    /// An answer of a server came: the requests a second that it takes from
-    /// all routers together, empty when it named no limit, and when its
-    /// request was sent.
+    /// A server responded.
+    /// @param named Requests per second that the server accepts from all
+    ///              routers together; empty if it named no limit.
+    /// @param sent  When the request was sent.
     std::function<void(
         const std::string& server, std::optional<double> named, instant sent)>
         answered;
-    /// Whether other routers have a newer configuration than the table's: what
-    /// isn't found in it may be there.
+    /// Whether other routers have a newer configuration than the table's. What
+    /// the table lacks may be defined there.
     std::function<bool()> is_behind;
 };
 
-/// Shared by all connections of one traffic thread; belongs to it.
+/// Shared by all connections of one traffic thread. Used only on that thread.
 struct forward_context : edge::backend_context
 {
     forward_context(
--- a/src/adapters/forward/forward_metrics.hpp
+++ b/src/adapters/forward/forward_metrics.hpp
@@ -13,15 +13,15 @@
 /// How a request ended for its caller.
 enum class request_end : std::uint8_t
 {
-    passed_on,   ///< a backend server's whole answer
-    refused,     ///< not run, and said so
-    failed,      ///< it may have run, and no whole answer came
-    broken_off,  ///< an answer had begun and couldn't be ended
+    passed_on,   ///< a backend server's complete response was forwarded
+    refused,     ///< the request did not run, and the response says so
+    failed,      ///< the request may have run, without a complete response
+    broken_off,  ///< the response had begun and was truncated
     caller_left, ///< the caller closed its connection
-    turned_away  ///< the request itself was wrong
+    turned_away  ///< the request itself was invalid
 };
 
-/// Whether a request waited before it was sent.
+/// Whether a request waited before it was first sent.
 enum class admission : std::uint8_t
 {
     at_once,
@@ -100,7 +100,7 @@
     metrics::latency<>& queue_wait;
 };
 
-/// @return The word of the metric's label, for logs.
+/// @return The value of the metric's label, for events.
 std::string_view to_string(request_end end);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/forward_request.cpp
+++ b/src/adapters/forward/forward_request.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Headers that concern one connection only.
+/// Headers that apply to one connection only.
 constexpr http::field hop_by_hop[] = {
     http::field::connection,
     http::field::keep_alive,
@@ -41,7 +41,7 @@
            std::ranges::find(hop_by_hop, name) != std::end(hop_by_hop);
 }
 
-/// Whether the name is among those that `Connection` lists.
+/// @return Whether the `Connection` header lists this name.
 bool is_listed(const http::fields& fields, beast::string_view name)
 {
     auto listed = http::token_list(fields[http::field::connection]);
@@ -69,8 +69,8 @@
     to += "\r\n";
 }
 
-/// Sorts a request's lines into those that are forwarded and those with
-/// credentials.
+/// Sorts a request's header lines into those that are forwarded and those with
+/// credentials. Drops reserved and hop-by-hop headers.
 void add_lines(
     forward_request& made,
     const http::fields& fields,
@@ -88,8 +88,9 @@
     }
 }
 
-/// @return The key of `Bearer KEY`; empty when there is none, or no telling
-///         which.
+/// @return The key of `Authorization: Bearer KEY`. Empty if there is none, or
+/// if
+///         several `Authorization` headers make it ambiguous.
 std::string key_of(const http::fields& fields)
 {
     constexpr beast::string_view scheme = "Bearer ";
@@ -103,7 +104,7 @@
     return std::string(key);
 }
 
-/// @return The sum of two numbers with a comma between.
+/// @return The sum of two numbers that a comma separates; empty if malformed.
 std::optional<std::uint64_t> parse_tokens(std::string_view text)
 {
     std::uint32_t in = 0;
--- a/src/adapters/forward/forward_request.hpp
+++ b/src/adapters/forward/forward_request.hpp
@@ -15,50 +15,51 @@
 namespace roseworks::forward
 {
 
-/// A caller's request, whole and checked.
+/// A caller's request, completely read and with valid framing.
 struct forward_request
 {
     std::string method;
     std::string target; ///< path and query, as sent
     std::string host;
-    std::string id;         ///< empty: the caller gave none
+    std::string id;         ///< empty: the caller sent none
     std::string model;      ///< model or model/adapter; empty: none
-    std::string caller_has; ///< last event of a stream that the caller has
-    std::string header; ///< lines that are forwarded, each with its line end
-    /// Lines with the caller's credentials: forwarded only where callers need
-    /// no key.
+    std::string caller_has; ///< `Last-Event-Id` from the caller
+    std::string header;     ///< forwarded lines, each with its line end
+    /// Header lines with the caller's credentials. Forwarded only if callers
+    /// need no API key.
     std::string credentials;
-    std::string key; ///< API key; empty: none, or more than one
-    std::optional<std::uint64_t> tokens; ///< of the prompt and the answer
+    std::string key;                     ///< API key; empty: none, or ambiguous
+    std::optional<std::uint64_t> tokens; ///< sum for prompt and response
     std::string body;
-    std::optional<std::chrono::milliseconds> deadline; ///< the caller's
+    std::optional<std::chrono::milliseconds>
+        deadline; ///< remaining time, from the caller
     unsigned version = 11;
     bool keep_alive = true;
     bool head_only = false; ///< a HEAD request
     instant arrived;
 
-    /// @return What tells this request from others of its route when it comes
-    ///         again: its method, target, model and body.
+    /// @return A hash of the method, target, model and body. It is the same
+    ///         when the caller repeats the request.
     fingerprint content() const;
 };
 
-/// Takes a parsed request apart. Headers of one connection and headers that
-/// are the system's to set are left out.
+/// Converts a parsed request. Leaves out hop-by-hop headers and headers that
+/// only the router may set.
 forward_request make_forward_request(
     edge::caller_parser& parser, const header_dialect& names, instant now);
 
-/// What is set for one attempt at a backend server.
+/// Headers that are set for one attempt on a backend server.
 struct attempt_headers
 {
-    std::chrono::milliseconds deadline{}; ///< what is left now
-    std::string_view instance;            ///< run that may take it
-    std::optional<unsigned> priority;     ///< engines only
-    std::string_view last_event; ///< of a stream that goes on; empty: none
-    std::string_view organisation = {}; ///< that holds the key; empty: none
-    bool with_credentials = false;      ///< the caller's are passed on
+    std::chrono::milliseconds deadline{}; ///< remaining time
+    std::string_view instance; ///< server instance that may run the request
+    std::optional<unsigned> priority;   ///< engines only
+    std::string_view last_event;        ///< of a resumed stream; empty: none
+    std::string_view organisation = {}; ///< that holds the API key; empty: none
+    bool with_credentials = false;      ///< the caller's are forwarded
 };
 
-/// @return The bytes of the request for a backend server, body included.
+/// @return The request as sent to a backend server, including the body.
 std::string make_backend_bytes(
     const forward_request& request,
     const header_dialect& names,
--- a/src/adapters/forward/forward_server.cpp
+++ b/src/adapters/forward/forward_server.cpp
@@ -14,10 +14,11 @@
 namespace
 {
 
-/// Between two looks for kept connections that are old or were closed.
+/// Interval between checks for idle connections that are too old or closed.
 constexpr std::chrono::milliseconds sweep_interval{1000};
 
-/// Out of descriptors, mostly: for some to be given back.
+/// Pause after a failed accept. The usual cause is a lack of file descriptors,
+/// which other connections release meanwhile.
 constexpr std::chrono::milliseconds accept_pause{50};
 
 std::chrono::milliseconds to_ms(duration length)
--- a/src/adapters/forward/forward_server.hpp
+++ b/src/adapters/forward/forward_server.hpp
@@ -15,9 +15,10 @@
 namespace roseworks::forward
 {
 
-/** Accepts callers on one event loop and serves them there.
+/** Accepts callers' connections on one event loop and serves them there.
 
-    All functions run on that loop. Has to outlive the loop's last run.
+    All functions must be called on that loop. Has to outlive the last run of
+   the loop.
 */
 class forward_server
 {
@@ -27,20 +28,20 @@
         forward_context& shared,
         edge::edge_options limits);
 
-    /// Binds and accepts from now on.
-    /// @return What failed; empty when it listens.
+    /// Binds to the endpoint and starts to accept connections.
+    /// @return The error; empty on success.
     beast::error_code listen(const edge::tcp::endpoint& endpoint);
 
-    /// What new connections' callers may send.
+    /// Sets size and time limits for callers on new connections.
     void bound_callers(const caller_bounds& bounds);
 
-    /// Every answer from now on ends its connection.
+    /// From now on, closes each connection after its next response.
     void start_drain();
 
-    /// Stops accepting and closes connections without a request.
+    /// Stops accepting connections, and closes those without a request.
     void close_idle();
 
-    /// Ends all calls.
+    /// Interrupts all calls, and closes idle connections.
     void force_end();
 
     void stop();
--- a/src/adapters/forward/forward_session.cpp
+++ b/src/adapters/forward/forward_session.cpp
@@ -14,8 +14,7 @@
 namespace
 {
 
-/// @return The status of a request whose framing is refused, 0 when it is
-///         right.
+/// @return The error status for invalid message framing; 0 if it is valid.
 unsigned framing_fault(const edge::caller_parser& parser)
 {
     return leaf::try_handle_all(
@@ -191,7 +190,7 @@
 {
     if (!this->context.ports.is_behind())
         return final_answer;
-    // Callers don't come back after a 404 or a 401.
+    // Callers do not retry after a 404 or a 401.
     return make_own_answer(
         refusal_reason::outdated,
         verdict::not_run,
--- a/src/adapters/forward/forward_session.hpp
+++ b/src/adapters/forward/forward_session.hpp
@@ -8,32 +8,33 @@
 namespace roseworks::forward
 {
 
-/// One caller's connection, request after request.
+/// Serves the requests of one caller's connection, one after the other.
 class forward_session
 {
 public:
-    /// @param limits what the caller may send; kept for the connection's life.
+    /// @param limits Limits for the caller. They apply for the lifetime of the
+    ///               connection.
     forward_session(
         forward_context& shared,
         edge::backend_pool& connections,
         edge::tcp::socket socket,
         const edge::edge_options& limits);
 
-    /// Serves until the connection ends.
+    /// Serves requests until the connection ends.
     asio::awaitable<void> run();
 
     /// Closes the connection if no request has begun.
     void close_idle();
 
-    /// Ends the running call, and the connection.
+    /// Interrupts the running call. Without one, closes the connection.
     void force_end();
 
 private:
     asio::awaitable<bool> serve_one();
     asio::awaitable<bool> serve(forward_request request);
     asio::awaitable<bool> answer(own_answer what, const forward_request& to);
-    /// @return The answer, or that it isn't known yet while others have a newer
-    ///         configuration.
+    /// @return The given response, or a retryable one if other routers have a
+    ///         newer configuration.
     own_answer unless_behind(own_answer final_answer) const;
     asio::awaitable<void>
     turn_away(unsigned status, const edge::caller_parser& parser);
--- a/src/adapters/forward/header_dialect.hpp
+++ b/src/adapters/forward/header_dialect.hpp
@@ -6,23 +6,23 @@
 namespace roseworks::forward
 {
 
-/// What callers and backend servers call the headers that forwarding reads or
-/// sets.
+/// Names of the headers that forwarding reads or sets, as callers and backend
+/// servers use them.
 struct header_dialect
 {
-    std::string request_id;      ///< echoed by servers and in own answers
-    std::string deadline;        ///< milliseconds that are left
+    std::string request_id;      ///< echoed by servers and in local responses
+    std::string deadline;        ///< remaining time in milliseconds
     std::string model;           ///< model, or model/adapter
-    std::string expect_instance; ///< only this run may run the request
-    std::string instance;        ///< id of the run that answers
-    std::string not_run;         ///< the server didn't run the request
+    std::string expect_instance; ///< only this server instance may run it
+    std::string instance;        ///< ID of the server instance that responds
+    std::string not_run;         ///< the server did not run the request
     std::string load;            ///< running, waiting, slots
-    std::string rate_limit;      ///< requests a second that the server takes
+    std::string rate_limit;      ///< requests per second the server accepts
     std::string priority;        ///< 0 to 9
-    std::string last_event;      ///< last event that the caller has
-    std::string organisation;    ///< name of the one that holds the key
-    std::string tokens;          ///< of the prompt, and most of the answer
-    std::vector<std::string> reserved; ///< left out of callers' requests
+    std::string last_event;      ///< last event that the caller received
+    std::string organisation;    ///< name of the API key's holder
+    std::string tokens;          ///< of the prompt; maximum for the response
+    std::vector<std::string> reserved; ///< dropped from callers' requests
 };
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/own_answer.hpp
+++ b/src/adapters/forward/own_answer.hpp
@@ -11,7 +11,7 @@
 namespace roseworks::forward
 {
 
-/// An answer that doesn't come from a backend server.
+/// A response that the router generates itself.
 struct own_answer
 {
     unsigned status = 503;
@@ -20,13 +20,14 @@
     duration retry_after{}; ///< left out when zero
 };
 
-/// @return The answer for a request that ends without a backend server's. One
-///         that may have run never gets a status that says it has not.
+/// @return The response to a request for which there is no backend server's
+///         response. If the request may have run, the status never says that it
+///         has not.
 own_answer make_own_answer(
     refusal_reason reason, verdict outcome, duration retry_after = {});
 
-/// @return The answer's bytes.
-/// @param id of the request; empty: unknown.
+/// @param id Request ID; empty if unknown.
+/// @return   The serialised response.
 std::string to_bytes(
     const own_answer& answer,
     const header_dialect& names,
--- a/src/adapters/forward/probe_server.cpp
+++ b/src/adapters/forward/probe_server.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Probes are small; more is refused.
+/// Requests of probes are small. Larger ones are rejected.
 constexpr std::size_t most_header_bytes = 4096;
 
 std::string to_bytes(const probe_answer& answer)
--- a/src/adapters/forward/probe_server.hpp
+++ b/src/adapters/forward/probe_server.hpp
@@ -10,16 +10,16 @@
 namespace roseworks::forward
 {
 
-/// What a probe is told.
+/// The response to a probe.
 struct probe_answer
 {
     unsigned status = 200;
     std::string body;
 };
 
-/** Answers the GET requests of a load balancer or a metrics collector.
+/** Serves the GET requests of a load balancer or a metrics collector.
 
-    Belongs to one event loop and has to outlive its last run.
+    Runs on one event loop and has to outlive the last run of that loop.
 */
 class probe_server
 {
@@ -28,7 +28,8 @@
 
     probe_server(edge::asio::any_io_executor loop, handler answers);
 
-    /// @return What failed; empty when it listens.
+    /// Binds to the endpoint and starts to accept connections.
+    /// @return The error; empty on success.
     edge::beast::error_code listen(const edge::tcp::endpoint& endpoint);
 
     void stop();
--- a/src/adapters/forward/quota_gate.cpp
+++ b/src/adapters/forward/quota_gate.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// One draw on its way; shared with the handler of its decision.
+/// State of a pending quota request, shared with its decision handler.
 struct open_draw
 {
     explicit open_draw(const asio::any_io_executor& executor)
--- a/src/adapters/forward/quota_gate.hpp
+++ b/src/adapters/forward/quota_gate.hpp
@@ -11,18 +11,18 @@
 namespace roseworks::forward
 {
 
-/** Holds a request until it is within its organisation's limit.
+/** Delays a request until it is within its organisation's limit.
 
-    What was set aside for a caller that left meanwhile is given back. Belongs
-    to the call's event loop.
+    If the call is interrupted meanwhile, its reserved quota is returned. Used
+    only on the call's event loop.
 */
 class quota_gate
 {
 public:
     quota_gate(quota_port& limits, boost::asio::any_io_executor executor);
 
-    /// @return The decision, when an allowed request may be sent; empty when
-    ///         the call has to end.
+    /// Requests quota, and waits as long as the decision says.
+    /// @return The decision; empty if the call was interrupted.
     boost::asio::awaitable<std::optional<quota_decision>>
     pass(quota_request request, edge::call_inbox& inbox);
 
--- a/src/adapters/forward/rate_limit_header.hpp
+++ b/src/adapters/forward/rate_limit_header.hpp
@@ -9,15 +9,16 @@
 namespace roseworks::forward
 {
 
-/// What an answer says of its server's rate limit.
+/// The rate limit that a response names for its server.
 struct named_rate_limit
 {
-    std::optional<double> per_second; ///< empty: none that makes sense
-    std::string_view text;            ///< as it stands; borrowed from the head
-    bool is_malformed = false;        ///< named, but no number of requests
+    std::optional<double> per_second; ///< empty: none that is valid
+    std::string_view text;            ///< as received; refers to the head
+    bool is_malformed = false;        ///< present, but no valid number
 };
 
-/// Of several the lowest counts, and those that are no numbers don't.
+/// Uses the lowest of several values and ignores malformed ones.
+/// @return The rate limit that the response names.
 named_rate_limit
 read_rate_limit(const answer_head& head, const header_dialect& names);
 
--- a/src/adapters/forward/relay_head.cpp
+++ b/src/adapters/forward/relay_head.cpp
@@ -24,7 +24,8 @@
     return {text.data(), text.size()};
 }
 
-/// What belongs to the connection, or is told anew by the framing.
+/// @return Whether the header is forwarded. Hop-by-hop headers and the
+///         `Content-Length` are not, because the response is framed anew.
 bool is_relayed(http::field name)
 {
     switch (name)
--- a/src/adapters/forward/server_exchange.cpp
+++ b/src/adapters/forward/server_exchange.cpp
@@ -14,7 +14,8 @@
 
 constexpr unsigned first_final_status = 200;
 
-/// Interim answers and answers to other requests that are read away.
+/// Limit on heads read for one request. Interim responses and responses to
+/// other requests are skipped.
 constexpr int most_passed_over = 4;
 
 std::string_view view(beast::string_view text)
@@ -61,7 +62,7 @@
         state != exchange_state::good && kept && !this->was_sent;
     if (!untouched || this->inbox.interrupted())
         co_return state;
-    // The kept connection was dead already and took no byte.
+    // The kept connection was already closed, and no byte was sent on it.
     state = co_await this->open(duration::min());
     if (state == exchange_state::good)
         state = co_await this->write(bytes);
--- a/src/adapters/forward/server_exchange.hpp
+++ b/src/adapters/forward/server_exchange.hpp
@@ -21,21 +21,21 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// How far an exchange with a backend server came.
+/// Outcome of a step of an exchange with a backend server.
 enum class exchange_state : std::uint8_t
 {
-    good,       ///< so far
-    not_sent,   ///< no byte left
-    broken,     ///< the connection broke, or bytes came that are no answer
-    timed_out,  ///< the time limit passed
-    interrupted ///< the caller left, or the call has to end
+    good,       ///< succeeded so far
+    not_sent,   ///< no byte was sent
+    broken,     ///< the connection broke, or the response was invalid
+    timed_out,  ///< the deadline passed
+    interrupted ///< the caller left, or the process shuts down
 };
 
-/** One request to one backend server and its answer, piece by piece.
+/** Sends one request to one backend server and reads the response in parts.
 
-    The time limit holds for all steps together. Closing the connection is what
-    tells the server to stop: an exchange that is destroyed before its answer
-    was read whole closes it.
+    One deadline applies to all steps together. A closed connection tells the
+    server to stop: an exchange that is destroyed before its response was
+    completely read closes the connection.
 */
 class server_exchange
 {
@@ -49,23 +49,25 @@
     server_exchange(const server_exchange&) = delete;
     server_exchange& operator=(const server_exchange&) = delete;
 
-    /// Takes a kept connection or opens one, and sends the request.
-    /// @param longest_idle a kept connection may have been idle.
-    /// @param until        the exchange's time limit.
+    /// Sends the request on a kept connection or on a new one.
+    /// @param longest_idle Longest time that a kept connection may have been
+    ///                     idle.
+    /// @param until        Deadline of the exchange.
     asio::awaitable<exchange_state> send(
         std::string address,
         std::string_view bytes,
         duration longest_idle,
         instant until);
 
-    /// Reads the head of the answer to this request. Answers to others are
-    /// read away.
-    /// @param id        of the request, which the answer echoes.
-    /// @param head_only the answer has no body.
+    /// Reads the head of the response to this request. Skips interim responses
+    /// and responses to other requests.
+    /// @param id        Request ID, which the response echoes.
+    /// @param head_only Whether the response has no body.
     asio::awaitable<exchange_state>
     read_head(const header_dialect& names, std::string_view id, bool head_only);
 
-    /// Reads some of the body. Empty text with `good`: the body has ended.
+    /// Reads a part of the body. An empty part with `good` means that the body
+    /// has ended.
     asio::awaitable<exchange_state> read_some(std::string_view& piece);
 
     const answer_head& head() const
@@ -73,7 +75,7 @@
         return this->parser->get().base();
     }
 
-    /// @return Whether only the connection's end ends the body.
+    /// @return Whether the body extends to the end of the connection.
     bool unframed() const
     {
         return this->until_closed;
@@ -84,13 +86,14 @@
         return this->parser && this->parser->is_done();
     }
 
-    /// @return Whether a byte was handed to the kernel.
+    /// @return Whether a byte of the request was handed to the kernel.
     bool sent() const
     {
         return this->was_sent;
     }
 
-    /// The answer was read whole: the connection may carry another.
+    /// Returns the connection to the pool if the response was completely read
+    /// and the connection can be reused.
     void release();
 
 private:
@@ -112,7 +115,7 @@
     std::array<char, std::size_t(16) << 10> buffer;
     bool was_sent = false;
     bool until_closed = false;
-    bool crossed = false; ///< an answer to another request came first
+    bool crossed = false; ///< a response to another request came first
 };
 
 } // namespace roseworks::forward
--- a/tests/unit/forward/forward_fixture.hpp
+++ b/tests/unit/forward/forward_fixture.hpp
@@ -24,11 +24,7 @@
 using edge::tests::backend_peer;
 using edge::tests::fake_backend;
 
-/** Forwarding over real sockets and the real dispatcher, to fake backend
-    servers of one plain service. Routes: `/once/` (not repeatable), `/again/`
-    (idempotent, two attempts), `/stream/` and `/resume/` (streams, the latter
-    resumable). */
-/// Allows all, or refuses all; keeps what it was asked.
+/// Returns the same decision for all requests and records them.
 class fake_limits final : public quota_port
 {
 public:
@@ -41,6 +37,13 @@
     double returned = 0;
 };
 
+/** Forwards over real sockets and the real dispatcher to fake backend servers
+   of one service without engines.
+
+    Routes: `/once/` (not repeatable), `/again/` (idempotent, two attempts),
+    `/stream/` and `/resume/` (streams, the latter resumable) and `/open/`
+    (idempotent, without an API key).
+*/
 class forward_fixture
 {
 public:
@@ -50,53 +53,56 @@
     forward_fixture(const forward_fixture&) = delete;
     forward_fixture& operator=(const forward_fixture&) = delete;
 
-    /// Forgets the configuration: as before the first one.
+    /// Removes the serving table, as before the first configuration.
     void without_table();
 
-    /// From now on callers need keys. Organisation `o1` holds `key-one` and
-    /// has a limit; `o2` holds `key-two`, has none and is less urgent. The
+    /// From now on callers need API keys. Organisation `o1` holds `key-one` and
+    /// has a limit. `o2` holds `key-two`, has no limit and is less urgent. The
     /// route `/open/` needs no key.
     void with_organisations();
 
-    /// The configuration without the key of `o1`.
+    /// Changes the configuration: `o1` no longer holds a key.
     void drop_first_key();
 
-    /// Other routers have a newer configuration.
+    /// Whether other routers have a newer configuration.
     std::atomic<bool> is_behind{false};
 
-    /// Limits of organisations.
+    /// Decides on the limits of organisations.
     fake_limits limits;
 
     /// @return Servers to which no connection could be opened, in order.
     std::vector<std::string> unreached();
 
-    /// What one answer of a server said of its rate limit.
+    /// The rate limit that one response of a server named.
     struct server_word
     {
         std::string server;
         std::optional<double> per_second;
     };
 
-    /// @return What servers said of their rate limits, in order. A limited
-    ///         server gets nothing more: each permit is refused.
+    /// @return One report for each response of a server, in order. A server
+    /// that
+    ///         named a limit gets no more requests, because each permit is
+    ///         refused.
     std::vector<server_word> limits_named();
 
     /// Sends bytes on a new connection.
-    /// @return All that comes until the connection ends.
+    /// @return All bytes received until the connection ends.
     std::string exchange(std::string_view bytes);
 
-    /// A request that ends its connection.
-    /// @param headers lines beside the usual ones, each with its line end
+    /// @param headers Additional header lines, each with its line end.
+    /// @return        A request with `Connection: close`.
     static std::string request(
         std::string_view method,
         std::string_view target,
         std::string_view headers = {});
 
-    /// Sends a request, and closes the connection without an answer.
+    /// Sends a request and closes the connection after the first byte of the
+    /// response.
     void leave(std::string_view bytes);
 
-    /// Sends a request, and closes the connection once its limit was asked
-    /// for.
+    /// Sends a request and closes the connection after quota was requested for
+    /// it.
     void depart(std::string_view bytes);
 
 private:
--- a/tests/unit/forward/test_forward_request.cpp
+++ b/tests/unit/forward/test_forward_request.cpp
@@ -68,8 +68,8 @@
     cr_assert_eq(bytes.find("Last-Event-Id: 12"), std::string::npos);
 }
 
-/// What the system sets must not come from a caller, nor what concerns the
-/// caller's connection alone reach a server.
+/// Headers that only the router sets must not come from a caller, and
+/// hop-by-hop headers must not reach a server.
 Test(forward_request, leaves_out_reserved_and_connection_headers)
 {
     const forward_request request = parse(
@@ -112,10 +112,13 @@
     cr_assert_neq(first, parse(other).content());
     std::string again(usual);
     again.replace(again.find("9c41"), 4, "9c42");
-    cr_assert_eq(first, parse(again).content(), "another attempt of it");
+    cr_assert_eq(
+        first,
+        parse(again).content(),
+        "the fingerprint depends on the attempt ID");
 }
 
-/// 503 promises that the request hasn't run.
+/// Status 503 promises that the request has not run.
 Test(own_answer, only_what_has_not_run_is_refused)
 {
     for (const refusal_reason reason :
--- a/tests/unit/forward/test_forwarding.cpp
+++ b/tests/unit/forward/test_forwarding.cpp
@@ -23,7 +23,7 @@
     "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nResponse-Seal: 3e1b\r\n"
     "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Answers each request on each connection with the same bytes.
+/// Sends the same bytes in response to each request.
 fake_backend::script always(std::string_view bytes)
 {
     return [bytes](backend_peer& peer)
@@ -33,7 +33,7 @@
     };
 }
 
-/// Answers one request with these bytes and ends the connection.
+/// Sends these bytes in response to one request and closes the connection.
 fake_backend::script once_and_close(std::string bytes)
 {
     return [bytes = std::move(bytes)](backend_peer& peer)
@@ -83,7 +83,7 @@
     const std::string answer = test.exchange(test.request("POST", "/once/x"));
     cr_assert(answer.starts_with("HTTP/1.1 502 "), "%s", answer.c_str());
     cr_assert_not(has(answer, "Response-Seal"));
-    cr_assert_eq(backend.connections(), 1, "it may have run: not sent again");
+    cr_assert_eq(backend.connections(), 1, "retried although it may have run");
 }
 
 Test(forwarding, an_idempotent_request_is_sent_again_after_a_cut_answer)
@@ -124,7 +124,8 @@
     cr_assert(has(answer, "\"verdict\":\"not-run\""));
 }
 
-/// So that others of this router don't try the same in vain.
+/// Without the report, other requests of this router would try the same server
+/// in vain.
 Test(forwarding, a_server_that_can_not_be_connected_to_is_told_of)
 {
     auto gone = std::make_unique<fake_backend>(always(sealed));
@@ -136,7 +137,7 @@
     cr_assert_eq(test.unreached().at(0), "i-1");
 }
 
-/// It was there: that says something else.
+/// The connection broke after it was opened, so the server was reachable.
 Test(forwarding, a_broken_connection_is_not_one_that_could_not_be_opened)
 {
     fake_backend backend(
@@ -186,7 +187,8 @@
             test.exchange(test.request("GET", "/again/x"));
         cr_assert(answer.ends_with("\r\n\r\nhello"), "%s", answer.c_str());
     }
-    cr_assert_eq(backend.connections(), 3, "none was kept");
+    cr_assert_eq(
+        backend.connections(), 3, "a connection with excess bytes was reused");
 }
 
 Test(forwarding, an_encoded_answer_is_not_the_servers)
@@ -333,8 +335,8 @@
     cr_assert(answer.starts_with("HTTP/1.1 404 "), "%s", answer.c_str());
 }
 
-/// A router that knew it lacked a configuration said 404 for its new routes;
-/// callers don't come back after that.
+/// Guards against a 404 for routes of a newer configuration, from a router that
+/// knew it was outdated. Callers do not retry after a 404.
 Test(forwarding, what_a_newer_configuration_may_have_is_not_called_unknown)
 {
     fake_backend backend(always(sealed));
--- a/tests/unit/forward/test_organisations.cpp
+++ b/tests/unit/forward/test_organisations.cpp
@@ -29,7 +29,7 @@
     return text.find(part) != std::string_view::npos;
 }
 
-/// Answers all requests alike and keeps the last one.
+/// Sends the same response to all requests and records the last request.
 struct keeping_backend
 {
     explicit keeping_backend(std::string_view answer)
