--- a/src/adapters/forward/caller_organisation.cpp
+++ b/src/adapters/forward/caller_organisation.cpp
@@ -4,21 +4,21 @@
 {
 
 caller_organisation
-find_caller(const organisation_index& known, const forward_request& request)
+find_caller(const organisation_index& index, const forward_request& request)
 {
-    caller_organisation made;
-    made.keys_required = known.is_required();
-    if (!made.keys_required || request.key.empty())
-        return made;
-    made.key = digest_of(request.key);
-    const organisation* const holder = known.find(made.key);
+    caller_organisation result;
+    result.keys_required = index.is_required();
+    if (!result.keys_required || request.key.empty())
+        return result;
+    result.key = digest_of(request.key);
+    const organisation* const holder = index.find(result.key);
     if (holder == nullptr)
-        return made;
-    made.name = holder->name;
-    made.rank = holder->rank;
-    made.is_limited = holder->limit.has_value();
-    made.cost = holder->cost(request.tokens);
-    return made;
+        return result;
+    result.name = holder->name;
+    result.rank = holder->rank;
+    result.is_limited = holder->limit.has_value();
+    result.cost = holder->cost(request.tokens);
+    return result;
 }
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/caller_organisation.hpp
+++ b/src/adapters/forward/caller_organisation.hpp
@@ -25,6 +25,6 @@
 /// @return The organisation that holds the request's API key. Its name is empty
 ///         if no key is required, or the key is missing or unknown.
 caller_organisation
-find_caller(const organisation_index& known, const forward_request& request);
+find_caller(const organisation_index& index, const forward_request& request);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -2,7 +2,7 @@
 
 #include "adapters/forward/quota_gate.hpp"
 #include "adapters/forward/rate_limit_header.hpp"
-#include "adapters/forward/relay_head.hpp"
+#include "adapters/forward/response_head.hpp"
 #include "core/serving/servable_key.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -27,17 +27,17 @@
 
 /// A request whose first attempt starts later than this after its arrival
 /// counts as having waited.
-constexpr duration at_once{std::chrono::milliseconds(20)};
+constexpr duration wait_threshold{std::chrono::milliseconds(20)};
 
-std::string_view view(beast::string_view text)
+std::string_view to_string_view(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
 /// Detects that the caller closes its connection during the call. Does not
 /// access the connection after the call has finished.
-asio::awaitable<void>
-watch(edge::caller_connection& caller, std::shared_ptr<edge::call_inbox> inbox)
+asio::awaitable<void> watch_for_disconnect(
+    edge::caller_connection& caller, std::shared_ptr<edge::call_inbox> inbox)
 {
     const auto [error] = co_await caller.stream.socket().async_wait(
         edge::tcp::socket::wait_read, edge::quietly);
@@ -61,14 +61,14 @@
     return numbers;
 }
 
-event_id event_of(bool served_at_once)
+event_id completion_event(bool without_retry)
 {
-    if (served_at_once)
+    if (without_retry)
         return event_id::request_served;
     return event_id::request_ended;
 }
 
-std::int64_t whole_ms(duration length)
+std::int64_t to_milliseconds(duration length)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(length)
         .count();
@@ -80,19 +80,19 @@
     forward_context& shared,
     edge::backend_pool& connections,
     edge::caller_connection& connection,
-    forward_request asked,
-    const path_route& matched,
-    caller_organisation holder,
-    std::string chosen_service,
-    bool on_engines)
+    forward_request incoming,
+    const path_route& matched_route,
+    caller_organisation key_holder,
+    std::string selected_service,
+    bool on_engine_service)
     : context(shared)
     , pool(connections)
     , caller(connection)
-    , request(std::move(asked))
-    , route(matched)
-    , organisation(std::move(holder))
-    , service(std::move(chosen_service))
-    , engines(on_engines)
+    , request(std::move(incoming))
+    , route(matched_route)
+    , organisation(std::move(key_holder))
+    , service(std::move(selected_service))
+    , is_engine_service(on_engine_service)
     , inbox(std::make_shared<edge::call_inbox>(connections.executor))
     , events(shared.settings.max_event_bytes)
 {
@@ -100,7 +100,7 @@
     if (this->request.deadline)
         limit = std::min<duration>(limit, *this->request.deadline);
     const duration margin =
-        std::min<duration>(this->context.settings.answer_margin, limit / 10);
+        std::min<duration>(this->context.settings.response_margin, limit / 10);
     this->deadline = this->request.arrived + limit - margin;
 }
 
@@ -112,7 +112,7 @@
 request_info forward_call::admission_info() const
 {
     request_info info;
-    info.is_service = !this->engines || this->request.model.empty();
+    info.is_service = !this->is_engine_service || this->request.model.empty();
     info.target = info.is_service
                       ? this->service
                       : servable_key(this->service, this->request.model);
@@ -132,26 +132,28 @@
 
 asio::awaitable<bool> forward_call::run()
 {
-    this->context.retries_of(this->service)
+    this->context.retry_budget_of(this->service)
         .record_request(this->request.arrived);
     asio::co_spawn(
-        this->pool.executor, watch(this->caller, this->inbox), asio::detached);
-    const bool entered = co_await this->enter();
-    if (entered)
+        this->pool.executor,
+        watch_for_disconnect(this->caller, this->inbox),
+        asio::detached);
+    const bool may_send = co_await this->reserve_quota();
+    if (may_send)
     {
-        std::weak_ptr<edge::call_inbox> messages = this->inbox;
-        this->place = this->context.ports.dispatch.submit(
+        std::weak_ptr<edge::call_inbox> weak_inbox = this->inbox;
+        this->admission_ticket = this->context.ports.dispatch.submit(
             this->admission_info(),
-            [messages](const dispatch_port::reply& answer)
+            [weak_inbox](const dispatch_port::reply& reply)
             {
-                if (const auto open = messages.lock())
-                    open->post_reply(answer);
+                if (const auto live_inbox = weak_inbox.lock())
+                    live_inbox->post_reply(reply);
             });
-        co_await this->serve();
+        co_await this->run_attempts();
     }
     this->inbox->finish();
-    if (this->tokens_set_aside && !this->may_have_run)
-        this->context.ports.limits.give_back(
+    if (this->quota_reserved && !this->may_have_run)
+        this->context.ports.quotas.give_back(
             this->organisation.name, this->organisation.cost);
     beast::error_code ignored;
     this->caller.stream.socket().cancel(ignored);
@@ -160,25 +162,26 @@
         this->request.keep_alive && !this->context.draining;
 }
 
-asio::awaitable<bool> forward_call::enter()
+asio::awaitable<bool> forward_call::reserve_quota()
 {
     if (!this->organisation.is_limited)
         co_return true;
-    quota_request asked;
-    asked.organisation = this->organisation.name;
-    asked.amount = this->organisation.cost;
-    asked.longest_wait =
-        this->route.objective / this->context.settings.wait_for_limit;
-    quota_gate gate(this->context.ports.limits, this->pool.executor);
-    const auto decision = co_await gate.pass(std::move(asked), *this->inbox);
+    quota_request quota_needed;
+    quota_needed.organisation = this->organisation.name;
+    quota_needed.amount = this->organisation.cost;
+    quota_needed.longest_wait =
+        this->route.objective / this->context.settings.quota_wait_divisor;
+    quota_gate gate(this->context.ports.quotas, this->pool.executor);
+    const auto decision =
+        co_await gate.acquire(std::move(quota_needed), *this->inbox);
     if (!decision)
     {
-        co_await this->end_interrupted();
+        co_await this->finish_interrupted();
         co_return false;
     }
-    this->tokens_set_aside = decision->is_allowed;
+    this->quota_reserved = decision->is_allowed;
     if (!decision->is_allowed)
-        co_await this->end_without_answer(
+        co_await this->finish_without_response(
             {true,
              verdict::not_run,
              refusal_reason::organisation_limit,
@@ -186,31 +189,34 @@
     co_return decision->is_allowed;
 }
 
-asio::awaitable<void> forward_call::end_interrupted()
+asio::awaitable<void> forward_call::finish_interrupted()
 {
     this->connection_usable = false;
     this->end = request_end::caller_left;
     if (!this->inbox->left())
-        co_await this->answer_own(make_own_answer(
+        co_await this->send_local_response(make_local_response(
             refusal_reason::draining,
             this->may_have_run ? verdict::may_have_run : verdict::not_run));
 }
 
-asio::awaitable<void> forward_call::serve()
+asio::awaitable<void> forward_call::run_attempts()
 {
     while (true)
     {
         const auto reply = co_await this->inbox->next_reply();
         if (!reply)
         {
-            this->context.ports.dispatch.abandon(this->place);
-            co_await this->end_interrupted();
+            this->context.ports.dispatch.abandon(this->admission_ticket);
+            co_await this->finish_interrupted();
             co_return;
         }
-        if (const auto* no = std::get_if<refusal>(&*reply))
+        if (const auto* refused_reply = std::get_if<refusal>(&*reply))
         {
-            co_await this->end_without_answer(
-                {true, no->outcome, no->reason, no->retry_after});
+            co_await this->finish_without_response(
+                {true,
+                 refused_reply->outcome,
+                 refused_reply->reason,
+                 refused_reply->retry_after});
             co_return;
         }
         const bool final_answer =
@@ -220,13 +226,13 @@
     }
 }
 
-bool forward_call::may_attempt()
+bool forward_call::withdraw_retry()
 {
     if (this->sends == 0)
         return true;
     const bool allowed =
-        this->context.retries_of(this->service)
-            .withdraw(this->context.ports.routers(), this->context.now());
+        this->context.retry_budget_of(this->service)
+            .withdraw(this->context.ports.live_routers(), this->context.now());
     if (allowed)
         this->context.metrics.retries.increment();
     else
@@ -234,7 +240,7 @@
     return allowed;
 }
 
-bool forward_call::key_is_gone(const serving_table& table) const
+bool forward_call::is_key_revoked(const serving_table& table) const
 {
     if (this->organisation.name.empty() || this->sends != 0)
         return false;
@@ -242,48 +248,49 @@
     return known.is_required() && known.find(this->organisation.key) == nullptr;
 }
 
-asio::awaitable<bool> forward_call::attempt(grant where)
+asio::awaitable<bool> forward_call::attempt(grant granted)
 {
     const serving_table_ptr table = this->context.ports.table();
-    if (this->key_is_gone(*table))
+    if (this->is_key_revoked(*table))
     {
-        this->context.ports.dispatch.abandon(this->place);
-        co_await this->end_without_answer(
+        this->context.ports.dispatch.abandon(this->admission_ticket);
+        co_await this->finish_without_response(
             {true, verdict::not_run, refusal_reason::unknown_key, {}});
         co_return true;
     }
-    const server_identity* server = table->find_server(where.address);
+    const server_identity* server = table->find_server(granted.address);
     attempt_result result;
     result.how = end_kind::not_sent;
-    const bool there = server != nullptr && server->service == this->service;
-    if (there && !this->may_attempt())
+    const bool is_listed =
+        server != nullptr && server->service == this->service;
+    if (is_listed && !this->withdraw_retry())
     {
-        this->context.ports.dispatch.abandon(this->place);
-        co_await this->end_without_answer(
+        this->context.ports.dispatch.abandon(this->admission_ticket);
+        co_await this->finish_without_response(
             {true,
              this->may_have_run ? verdict::may_have_run : verdict::not_run,
              refusal_reason::retries_exhausted,
              std::chrono::milliseconds(200)});
         co_return true;
     }
-    if (there)
+    if (is_listed)
     {
         const std::string instance = server->instance;
         const std::string servable = this->admission_info().target;
-        if (where.engine)
+        if (granted.engine)
             this->context.ports.run_started(servable, instance);
-        result = co_await this->exchange_with(where, *server);
-        if (where.engine)
+        result = co_await this->exchange_with(granted, *server);
+        if (granted.engine)
             this->context.ports.run_ended(servable, instance);
-        if (where.engine && result.how == end_kind::refused_not_run)
-            co_await this->wait_for_table(servable, instance);
+        if (granted.engine && result.how == end_kind::refused_not_run)
+            co_await this->wait_for_table_update(servable, instance);
     }
     const bool ran = result.how != end_kind::not_sent &&
                      result.how != end_kind::refused_not_run;
     this->may_have_run = this->may_have_run || ran;
     this->attempts += ran ? 1 : 0;
     const dispatcher::finish finish =
-        this->context.ports.dispatch.finished(this->place, result);
+        this->context.ports.dispatch.finished(this->admission_ticket, result);
     if (result.how == end_kind::answered)
     {
         this->end = request_end::passed_on;
@@ -300,21 +307,21 @@
     if (!finish.final_answer && allowed)
         co_return false;
     if (!finish.final_answer)
-        this->context.ports.dispatch.abandon(this->place);
-    co_await this->end_without_answer(finish);
+        this->context.ports.dispatch.abandon(this->admission_ticket);
+    co_await this->finish_without_response(finish);
     co_return true;
 }
 
-asio::awaitable<void> forward_call::wait_for_table(
+asio::awaitable<void> forward_call::wait_for_table_update(
     const std::string& servable, const std::string& instance)
 {
     this->context.ports.run_refused(servable, instance);
     asio::steady_timer pause(this->pool.executor);
-    pause.expires_after(this->context.settings.refused_pause);
+    pause.expires_after(this->context.settings.refusal_pause);
     co_await pause.async_wait(edge::quietly);
 }
 
-unsigned forward_call::engine_rank() const
+unsigned forward_call::engine_priority() const
 {
     // Engines accept priorities 0 to 9. The organisation's rank takes
     // precedence over the route's.
@@ -327,36 +334,36 @@
     return std::min(this->organisation.rank * route_ranks + within, last);
 }
 
-std::string
-forward_call::bytes_for(const server_identity& server, instant now) const
+std::string forward_call::serialize_request(
+    const server_identity& server, instant now) const
 {
     attempt_headers set;
-    const duration left = this->deadline - now;
+    const duration remaining = this->deadline - now;
     set.deadline = std::max(
-        std::chrono::duration_cast<std::chrono::milliseconds>(left),
+        std::chrono::duration_cast<std::chrono::milliseconds>(remaining),
         std::chrono::milliseconds(1));
     set.instance = server.instance;
-    if (this->engines)
-        set.priority = this->engine_rank();
+    if (this->is_engine_service)
+        set.priority = this->engine_priority();
     set.organisation = this->organisation.name;
     set.with_credentials = !this->organisation.keys_required;
     if (this->head_written)
         set.last_event = this->events.last_id();
-    return make_backend_bytes(this->request, this->context.names, set);
+    return serialize_backend_request(this->request, this->context.names, set);
 }
 
 asio::awaitable<attempt_result>
-forward_call::exchange_with(const grant& where, const server_identity& server)
+forward_call::exchange_with(const grant& granted, const server_identity& server)
 {
     const instant now = this->context.now();
     this->sent_at = now;
     if (this->sends == 0)
     {
         this->first_sent = now;
-        this->waited = now - this->request.arrived > at_once;
+        this->waited = now - this->request.arrived > wait_threshold;
         this->context.metrics.queue_wait.record(now - this->request.arrived);
     }
-    const std::string bytes = this->bytes_for(server, now);
+    const std::string bytes = this->serialize_request(server, now);
     this->last_server = server.instance;
     server_exchange exchange(this->context, this->pool, *this->inbox);
     const duration longest_idle =
@@ -364,75 +371,79 @@
             ? duration(this->context.options.connection_max_idle)
             : duration(this->context.options.proof_of_life);
     exchange_state state = co_await exchange.send(
-        where.address, bytes, longest_idle, this->deadline);
+        granted.address, bytes, longest_idle, this->deadline);
     this->sends += exchange.sent() ? 1 : 0;
-    if (state == exchange_state::good)
+    if (state == exchange_state::ok)
         state = co_await exchange.read_head(
             this->context.names, this->request.id, this->request.head_only);
-    if (state != exchange_state::good)
+    if (state != exchange_state::ok)
     {
         if (state == exchange_state::not_sent)
-            this->context.ports.unreached(server.instance);
+            this->context.ports.connect_failed(server.instance);
         attempt_result failed = this->result_of(state);
         if (!exchange.sent() && failed.how != end_kind::caller_left)
             failed.how = end_kind::not_sent;
         if (failed.how == end_kind::broken)
-            this->context.ports.broken(
-                server.instance, this->request.content());
+            this->context.ports.connection_broken(
+                server.instance, this->request.content_fingerprint());
         co_return failed;
     }
-    this->tell_load(where, exchange);
-    this->tell_limit(exchange);
-    if (says_not_run(exchange.head(), this->context.names))
+    this->report_load(granted, exchange);
+    this->report_rate_limit(exchange);
+    if (is_not_run_refusal(exchange.head(), this->context.names))
     {
         attempt_result refused;
         refused.how = end_kind::refused_not_run;
         co_return refused;
     }
-    const attempt_result result = co_await this->pass_on(exchange);
+    const attempt_result result = co_await this->forward_response(exchange);
     if (result.how == end_kind::broken)
-        this->context.ports.broken(server.instance, this->request.content());
+        this->context.ports.connection_broken(
+            server.instance, this->request.content_fingerprint());
     co_return result;
 }
 
-void forward_call::tell_load(
-    const grant& where, const server_exchange& exchange)
+void forward_call::report_load(
+    const grant& granted, const server_exchange& exchange)
 {
     const auto text = exchange.head()[this->context.names.load];
-    if (text.empty() || !where.engine)
+    if (text.empty() || !granted.engine)
         return;
-    if (const auto numbers = parse_load(view(text)))
-        this->context.ports.load_told(
-            {where.engine, (*numbers)[0], (*numbers)[1]});
+    if (const auto numbers = parse_load(to_string_view(text)))
+        this->context.ports.load_reported(
+            {granted.engine, (*numbers)[0], (*numbers)[1]});
 }
 
-void forward_call::tell_limit(const server_exchange& exchange)
+void forward_call::report_rate_limit(const server_exchange& exchange)
 {
-    constexpr std::size_t most_logged = 32;
-    const named_rate_limit named =
-        read_rate_limit(exchange.head(), this->context.names);
-    this->named_limit = named.text.substr(0, most_logged);
-    if (named.is_malformed)
+    constexpr std::size_t max_logged_length = 32;
+    const server_rate_limit rate_limit =
+        parse_rate_limit(exchange.head(), this->context.names);
+    this->last_rate_limit = rate_limit.raw_value.substr(0, max_logged_length);
+    if (rate_limit.is_malformed)
         this->context.events.report(
             event_id::server_limit_malformed,
-            {{"server", this->last_server}, {"value", this->named_limit}});
-    this->context.ports.answered(
-        this->last_server, named.per_second, this->sent_at);
+            {{"server", this->last_server}, {"value", this->last_rate_limit}});
+    this->context.ports.response_received(
+        this->last_server, rate_limit.requests_per_second, this->sent_at);
 }
 
-asio::awaitable<void> forward_call::end_without_answer(dispatcher::finish how)
+asio::awaitable<void>
+forward_call::finish_without_response(dispatcher::finish final_state)
 {
     const verdict outcome =
         this->may_have_run ? verdict::may_have_run : verdict::not_run;
-    const refusal_reason why = how.reason == refusal_reason::none
-                                   ? refusal_reason::backend_failed
-                                   : how.reason;
-    co_await this->answer_own(make_own_answer(why, outcome, how.retry_after));
+    const refusal_reason final_reason =
+        final_state.reason == refusal_reason::none
+            ? refusal_reason::backend_failed
+            : final_state.reason;
+    co_await this->send_local_response(
+        make_local_response(final_reason, outcome, final_state.retry_after));
 }
 
-asio::awaitable<void> forward_call::answer_own(own_answer answer)
+asio::awaitable<void> forward_call::send_local_response(local_response response)
 {
-    this->reason = answer.reason;
+    this->reason = response.reason;
     if (this->head_written)
     {
         // The missing last chunk tells the caller that the response is
@@ -441,15 +452,15 @@
         this->connection_usable = false;
         co_return;
     }
-    this->end = answer.outcome == verdict::not_run ? request_end::refused
-                                                   : request_end::failed;
-    this->status = answer.status;
-    const bool keep = this->request.keep_alive && !this->context.draining;
+    this->end = response.outcome == verdict::not_run ? request_end::refused
+                                                     : request_end::failed;
+    this->status = response.status;
+    const bool keep_open = this->request.keep_alive && !this->context.draining;
     const std::string bytes = to_bytes(
-        answer,
+        response,
         this->context.names,
         this->request.id,
-        keep,
+        keep_open,
         this->request.head_only);
     const bool written = co_await this->caller.write_raw(bytes);
     this->connection_usable = this->connection_usable && written;
@@ -463,14 +474,16 @@
         this->context.metrics.first_byte.record(
             this->first_byte_at - this->request.arrived,
             this->waited ? admission::waited : admission::at_once);
-    const bool good = this->end == request_end::passed_on && this->sends == 1;
-    const duration wait = this->first_sent == instant()
-                              ? now - this->request.arrived
-                              : this->first_sent - this->request.arrived;
-    const duration first = this->first_byte_at == instant()
-                               ? duration::zero()
-                               : this->first_byte_at - this->request.arrived;
-    const std::optional<event_id> id(event_of(good));
+    const bool served_without_retry =
+        this->end == request_end::passed_on && this->sends == 1;
+    const duration queue_time = this->first_sent == instant()
+                                    ? now - this->request.arrived
+                                    : this->first_sent - this->request.arrived;
+    const duration first_byte_time =
+        this->first_byte_at == instant()
+            ? duration::zero()
+            : this->first_byte_at - this->request.arrived;
+    const std::optional<event_id> id(completion_event(served_without_retry));
     this->context.events.report(
         *id,
         {{"request_id", this->request.id},
@@ -481,13 +494,13 @@
          {"status", this->status},
          {"reason", to_string(this->reason)},
          {"server", this->last_server},
-         {"server_limit", this->named_limit},
+         {"server_limit", this->last_rate_limit},
          {"sends", this->sends},
-         {"objective_ms", whole_ms(this->route.objective)},
-         {"wait_ms", whole_ms(wait)},
-         {"first_ms", whole_ms(first)},
-         {"total_ms", whole_ms(now - this->request.arrived)},
-         {"events", this->events.events()}});
+         {"objective_ms", to_milliseconds(this->route.objective)},
+         {"wait_ms", to_milliseconds(queue_time)},
+         {"first_ms", to_milliseconds(first_byte_time)},
+         {"total_ms", to_milliseconds(now - this->request.arrived)},
+         {"events", this->events.event_count()}});
 }
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/forward_call.hpp
+++ b/src/adapters/forward/forward_call.hpp
@@ -3,11 +3,11 @@
 #include "adapters/edge/call_inbox.hpp"
 #include "adapters/edge/caller_connection.hpp"
 #include "adapters/forward/caller_organisation.hpp"
-#include "adapters/forward/event_cutter.hpp"
 #include "adapters/forward/forward_context.hpp"
 #include "adapters/forward/forward_request.hpp"
-#include "adapters/forward/own_answer.hpp"
+#include "adapters/forward/local_response.hpp"
 #include "adapters/forward/server_exchange.hpp"
+#include "adapters/forward/sse_event_splitter.hpp"
 #include "core/serving/deployment.hpp"
 
 #include <memory>
@@ -33,11 +33,11 @@
         forward_context& shared,
         edge::backend_pool& connections,
         edge::caller_connection& connection,
-        forward_request asked,
-        const path_route& matched,
-        caller_organisation holder,
-        std::string chosen_service,
-        bool on_engines);
+        forward_request incoming,
+        const path_route& matched_route,
+        caller_organisation key_holder,
+        std::string selected_service,
+        bool on_engine_service);
     ~forward_call();
 
     forward_call(const forward_call&) = delete;
@@ -54,49 +54,51 @@
     }
 
 private:
-    enum class relayed : std::uint8_t
+    enum class relay_outcome : std::uint8_t
     {
-        whole,       ///< the whole response was sent to the caller
-        cut,         ///< the server's response ended early
-        late,        ///< the deadline passed
-        caller_gone, ///< sending to the caller failed
-        interrupted  ///< the caller left, or the process shuts down
+        complete,        ///< the whole response was sent to the caller
+        truncated,       ///< the server's response ended early
+        deadline_passed, ///< the deadline passed
+        write_failed,    ///< sending to the caller failed
+        interrupted      ///< the caller left, or the process shuts down
     };
 
     request_info admission_info() const;
     /// Reserves quota if the organisation has a limit.
     /// @return Whether the request may be sent. If not, the call is finished.
-    asio::awaitable<bool> enter();
-    asio::awaitable<void> serve();
-    asio::awaitable<bool> attempt(grant where);
-    bool may_attempt();
+    asio::awaitable<bool> reserve_quota();
+    asio::awaitable<void> run_attempts();
+    asio::awaitable<bool> attempt(grant granted);
+    bool withdraw_retry();
     /// @return Whether the caller's API key was revoked while the request
     ///         waited for its first attempt.
-    bool key_is_gone(const serving_table& table) const;
+    bool is_key_revoked(const serving_table& table) const;
     /// Reports that an engine refused the request because the model was not
     /// loaded, and waits shortly for the serving table to be updated.
-    asio::awaitable<void>
-    wait_for_table(const std::string& servable, const std::string& instance);
-    unsigned engine_rank() const;
-    std::string bytes_for(const server_identity& server, instant now) const;
+    asio::awaitable<void> wait_for_table_update(
+        const std::string& servable, const std::string& instance);
+    unsigned engine_priority() const;
+    std::string
+    serialize_request(const server_identity& server, instant now) const;
     asio::awaitable<attempt_result>
-    exchange_with(const grant& where, const server_identity& server);
-    asio::awaitable<attempt_result> pass_on(server_exchange& exchange);
-    asio::awaitable<relayed> relay(server_exchange& exchange);
-    asio::awaitable<relayed> relay_collected(server_exchange& exchange);
-    asio::awaitable<relayed> relay_stream(server_exchange& exchange);
-    asio::awaitable<bool> write_head(const server_exchange& exchange);
+    exchange_with(const grant& granted, const server_identity& server);
+    asio::awaitable<attempt_result> forward_response(server_exchange& exchange);
+    asio::awaitable<relay_outcome> relay(server_exchange& exchange);
+    asio::awaitable<relay_outcome> relay_buffered(server_exchange& exchange);
+    asio::awaitable<relay_outcome> relay_stream(server_exchange& exchange);
+    asio::awaitable<bool> write_stream_head(const server_exchange& exchange);
     asio::awaitable<bool> write_chunk(std::string_view bytes);
-    bool joins(const server_exchange& exchange) const;
-    void tell_load(const grant& where, const server_exchange& exchange);
+    bool continues_stream(const server_exchange& exchange) const;
+    void report_load(const grant& granted, const server_exchange& exchange);
     /// Reports the rate limit that the server named in its response.
-    void tell_limit(const server_exchange& exchange);
-    attempt_result result_of(relayed how) const;
+    void report_rate_limit(const server_exchange& exchange);
+    attempt_result result_of(relay_outcome outcome) const;
     attempt_result result_of(exchange_state state) const;
-    asio::awaitable<void> answer_own(own_answer answer);
+    asio::awaitable<void> send_local_response(local_response response);
     /// Finishes the call after the caller left or the process shut down.
-    asio::awaitable<void> end_interrupted();
-    asio::awaitable<void> end_without_answer(dispatcher::finish how);
+    asio::awaitable<void> finish_interrupted();
+    asio::awaitable<void>
+    finish_without_response(dispatcher::finish final_state);
     void report();
 
     forward_context& context;
@@ -106,17 +108,17 @@
     path_route route;
     caller_organisation organisation;
     std::string service;
-    bool engines;
+    bool is_engine_service;
     instant deadline; ///< of the whole call
     std::shared_ptr<edge::call_inbox> inbox;
-    ticket place;
-    event_cutter events;
+    ticket admission_ticket;
+    sse_event_splitter events;
     std::uint32_t attempts = 0; ///< that may have run the request
     std::uint32_t sends =
         0; ///< attempts that sent data, including refused ones
-    std::string last_server;       ///< instance ID, of the last attempt
-    std::string named_limit;       ///< in the last response; empty: none
-    bool tokens_set_aside = false; ///< from the organisation's limit
+    std::string last_server;     ///< instance ID, of the last attempt
+    std::string last_rate_limit; ///< in the last response; empty: none
+    bool quota_reserved = false; ///< from the organisation's limit
     bool may_have_run = false;
     bool head_written = false;
     bool chunked = false; ///< the response to the caller is chunked
--- a/src/adapters/forward/forward_call_relay.cpp
+++ b/src/adapters/forward/forward_call_relay.cpp
@@ -1,5 +1,5 @@
 #include "adapters/forward/forward_call.hpp"
-#include "adapters/forward/relay_head.hpp"
+#include "adapters/forward/response_head.hpp"
 
 #include <array>
 #include <cstdio>
@@ -15,24 +15,25 @@
 constexpr unsigned status_ok = 200;
 constexpr std::string_view last_chunk = "0\r\n\r\n";
 
-std::string_view view(beast::string_view text)
+std::string_view to_string_view(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
 } // namespace
 
-bool forward_call::joins(const server_exchange& exchange) const
+bool forward_call::continues_stream(const server_exchange& exchange) const
 {
     return exchange.head().result_int() == status_ok &&
            is_event_stream(exchange.head());
 }
 
-asio::awaitable<attempt_result> forward_call::pass_on(server_exchange& exchange)
+asio::awaitable<attempt_result>
+forward_call::forward_response(server_exchange& exchange)
 {
     const auto encoding = exchange.head()[http::field::content_encoding];
-    const bool foreign = !encoding.empty() && encoding != "identity";
-    if (foreign || (this->head_written && !this->joins(exchange)))
+    const bool is_encoded = !encoding.empty() && encoding != "identity";
+    if (is_encoded || (this->head_written && !this->continues_stream(exchange)))
     {
         // An encoded body is not what the service produced. After the head was
         // sent, only an event stream can continue the response.
@@ -43,62 +44,66 @@
     }
     if (this->first_byte_at == instant())
         this->first_byte_at = this->context.now();
-    const relayed how = co_await this->relay(exchange);
-    if (how == relayed::whole)
-        exchange.release();
-    co_return this->result_of(how);
+    const relay_outcome outcome = co_await this->relay(exchange);
+    if (outcome == relay_outcome::complete)
+        exchange.return_to_pool();
+    co_return this->result_of(outcome);
 }
 
-asio::awaitable<forward_call::relayed>
+asio::awaitable<forward_call::relay_outcome>
 forward_call::relay(server_exchange& exchange)
 {
-    const bool stream = is_event_stream(exchange.head());
-    const relayed how = stream ? co_await this->relay_stream(exchange)
-                               : co_await this->relay_collected(exchange);
-    co_return how;
+    const bool is_stream = is_event_stream(exchange.head());
+    const relay_outcome outcome = is_stream
+                                      ? co_await this->relay_stream(exchange)
+                                      : co_await this->relay_buffered(exchange);
+    co_return outcome;
 }
 
-asio::awaitable<forward_call::relayed>
-forward_call::relay_collected(server_exchange& exchange)
+asio::awaitable<forward_call::relay_outcome>
+forward_call::relay_buffered(server_exchange& exchange)
 {
-    const auto end_of = [](exchange_state state)
+    const auto outcome_of = [](exchange_state state)
     {
         if (state == exchange_state::interrupted)
-            return relayed::interrupted;
-        return state == exchange_state::timed_out ? relayed::late
-                                                  : relayed::cut;
+            return relay_outcome::interrupted;
+        return state == exchange_state::timed_out
+                   ? relay_outcome::deadline_passed
+                   : relay_outcome::truncated;
     };
     std::string body;
     std::string_view piece;
     do
     {
         const exchange_state state = co_await exchange.read_some(piece);
-        if (state != exchange_state::good)
-            co_return end_of(state);
+        if (state != exchange_state::ok)
+            co_return outcome_of(state);
         body += piece;
     } while (!piece.empty() &&
-             body.size() < this->context.settings.collect_bytes);
+             body.size() < this->context.settings.max_buffered_bytes);
 
     this->status = exchange.head().result_int();
-    std::string bytes = head_lines(exchange.head(), this->context.names);
-    const bool whole = piece.empty();
+    std::string bytes = serialize_head(exchange.head(), this->context.names);
+    const bool is_complete = piece.empty();
     const bool close = !this->request.keep_alive || this->context.draining;
     const auto length = exchange.head()[http::field::content_length];
     if (this->request.head_only && !length.empty())
-        bytes += "Content-Length: " + std::string(view(length)) + "\r\n";
-    else if (whole && !this->request.head_only)
+        bytes +=
+            "Content-Length: " + std::string(to_string_view(length)) + "\r\n";
+    else if (is_complete && !this->request.head_only)
         bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-    else if (!whole)
+    else if (!is_complete)
         bytes += "Transfer-Encoding: chunked\r\n";
     if (close)
         bytes += "Connection: close\r\n";
     bytes += "\r\n";
     this->head_written = true;
-    if (whole)
+    if (is_complete)
     {
         bytes += body;
         const bool written = co_await this->caller.write_raw(bytes);
-        co_return written ? relayed::whole : relayed::caller_gone;
+        co_return written ? relay_outcome::complete
+                          : relay_outcome::write_failed;
     }
     this->chunked = true;
     bool written = co_await this->caller.write_raw(bytes);
@@ -106,24 +111,26 @@
     while (written)
     {
         const exchange_state state = co_await exchange.read_some(piece);
-        if (state != exchange_state::good)
-            co_return end_of(state);
+        if (state != exchange_state::ok)
+            co_return outcome_of(state);
         if (piece.empty())
         {
             written = co_await this->caller.write_raw(last_chunk);
-            co_return written ? relayed::whole : relayed::caller_gone;
+            co_return written ? relay_outcome::complete
+                              : relay_outcome::write_failed;
         }
         written = co_await this->write_chunk(piece);
     }
-    co_return relayed::caller_gone;
+    co_return relay_outcome::write_failed;
 }
 
-asio::awaitable<bool> forward_call::write_head(const server_exchange& exchange)
+asio::awaitable<bool>
+forward_call::write_stream_head(const server_exchange& exchange)
 {
     this->status = exchange.head().result_int();
     this->head_written = true;
     this->chunked = true;
-    std::string bytes = head_lines(exchange.head(), this->context.names);
+    std::string bytes = serialize_head(exchange.head(), this->context.names);
     bytes += "Transfer-Encoding: chunked\r\n";
     if (!this->request.keep_alive || this->context.draining)
         bytes += "Connection: close\r\n";
@@ -146,66 +153,69 @@
     co_return written;
 }
 
-asio::awaitable<forward_call::relayed>
+asio::awaitable<forward_call::relay_outcome>
 forward_call::relay_stream(server_exchange& exchange)
 {
-    const bool joining = this->head_written;
-    const bool whole_events = this->route.resumable;
-    this->events.restart();
-    bool written = joining || co_await this->write_head(exchange);
+    const bool is_continuation = this->head_written;
+    const bool complete_events_only = this->route.resumable;
+    this->events.discard_incomplete();
+    bool written =
+        is_continuation || co_await this->write_stream_head(exchange);
     std::string_view piece;
     while (written)
     {
         const exchange_state state = co_await exchange.read_some(piece);
         if (state == exchange_state::interrupted)
-            co_return relayed::interrupted;
+            co_return relay_outcome::interrupted;
         if (state == exchange_state::timed_out)
-            co_return relayed::late;
-        if (state != exchange_state::good)
-            co_return relayed::cut;
+            co_return relay_outcome::deadline_passed;
+        if (state != exchange_state::ok)
+            co_return relay_outcome::truncated;
         if (piece.empty())
         {
             // The response is complete, even if its last bytes are not a
             // complete event.
-            std::string rest =
-                whole_events ? this->events.take_rest() : std::string();
-            written = co_await this->write_chunk(rest);
+            std::string remainder = complete_events_only
+                                        ? this->events.take_remainder()
+                                        : std::string();
+            written = co_await this->write_chunk(remainder);
             written = written && co_await this->caller.write_raw(last_chunk);
-            co_return written ? relayed::whole : relayed::caller_gone;
+            co_return written ? relay_outcome::complete
+                              : relay_outcome::write_failed;
         }
-        const std::string events_now = this->events.feed(piece);
-        if (this->events.overrun())
-            co_return relayed::cut;
+        const std::string completed_events = this->events.feed(piece);
+        if (this->events.exceeds_limit())
+            co_return relay_outcome::truncated;
         written = co_await this->write_chunk(
-            whole_events ? std::string_view(events_now) : piece);
+            complete_events_only ? std::string_view(completed_events) : piece);
     }
-    co_return this->inbox->interrupted() ? relayed::interrupted
-                                         : relayed::caller_gone;
+    co_return this->inbox->interrupted() ? relay_outcome::interrupted
+                                         : relay_outcome::write_failed;
 }
 
-attempt_result forward_call::result_of(relayed how) const
+attempt_result forward_call::result_of(relay_outcome outcome) const
 {
     attempt_result result;
     result.answer_started = this->head_written;
-    result.tokens = this->events.events();
+    result.tokens = this->events.event_count();
     result.resumable = this->head_written && this->route.resumable &&
                        this->chunked && !this->events.last_id().empty();
     result.total = this->context.now() - this->sent_at;
     if (this->first_byte_at != instant())
         result.first_byte = this->first_byte_at - this->sent_at;
-    switch (how)
+    switch (outcome)
     {
-    case relayed::whole:
+    case relay_outcome::complete:
         result.how = end_kind::answered;
         break;
-    case relayed::cut:
+    case relay_outcome::truncated:
         result.how = end_kind::broken;
         break;
-    case relayed::late:
+    case relay_outcome::deadline_passed:
         result.how = end_kind::no_progress;
         break;
-    case relayed::caller_gone:
-    case relayed::interrupted:
+    case relay_outcome::write_failed:
+    case relay_outcome::interrupted:
         result.how = end_kind::caller_left;
         break;
     }
--- a/src/adapters/forward/forward_context.hpp
+++ b/src/adapters/forward/forward_context.hpp
@@ -26,25 +26,25 @@
     /// Responses up to this size are read completely before the first byte is
     /// forwarded, so that a broken one is detected before the caller sees it.
     /// Event streams are not buffered.
-    std::size_t collect_bytes = std::size_t(256) << 10;
+    std::size_t max_buffered_bytes = std::size_t(256) << 10;
     /// Largest event of a stream.
     std::size_t max_event_bytes = std::size_t(256) << 10;
     /// Subtracted from the time limit, so that the response can still reach the
     /// caller in time. At most a tenth of the time limit is subtracted.
-    std::chrono::milliseconds answer_margin{20};
+    std::chrono::milliseconds response_margin{20};
     /// Deadline of a request if neither the caller nor the route sets one.
     std::chrono::milliseconds default_deadline{60'000};
     /// Pause after an engine refused a request, until the serving table no
     /// longer lists the engine for the model.
-    std::chrono::milliseconds refused_pause{5};
+    std::chrono::milliseconds refusal_pause{5};
     /// A request may wait for its organisation's limit for the route's
     /// objective divided by this number.
-    int wait_for_limit = 4;
+    int quota_wait_divisor = 4;
     /// Retry-After while this router has no configuration or an outdated one.
-    std::chrono::milliseconds start_retry{500};
+    std::chrono::milliseconds outdated_retry_after{500};
     /// Retry-After of a request that is blocked because it crashes servers.
     /// Same length as the block.
-    std::chrono::milliseconds blocked_retry{60'000};
+    std::chrono::milliseconds blocked_retry_after{60'000};
     shared_retry_budget::options retries;
     std::uint64_t seed = 1; ///< of the choice among a route's services
 };
@@ -53,11 +53,12 @@
 struct forward_dependencies
 {
     dispatch_port& dispatch;
-    quota_port& limits;
+    quota_port& quotas;
     std::function<serving_table_ptr()> table; ///< newest; null: none yet
-    std::function<std::size_t()> routers;     ///< live ones, including this one
+    std::function<std::size_t()>
+        live_routers; ///< live ones, including this one
     /// An engine reported its load in a response.
-    std::function<void(const load_report&)> load_told;
+    std::function<void(const load_report&)> load_reported;
     /// An attempt of a request for a servable on an engine begins or has ended.
     std::function<void(const std::string& servable, const std::string& engine)>
         run_started;
@@ -68,42 +69,45 @@
     std::function<void(const std::string& servable, const std::string& engine)>
         run_refused;
     /// No connection to a server could be opened.
-    std::function<void(const std::string& server)> unreached;
+    std::function<void(const std::string& server)> connect_failed;
     /// A connection broke after a request was sent to the server.
-    std::function<void(const std::string& server, fingerprint)> broken;
+    std::function<void(const std::string& server, fingerprint)>
+        connection_broken;
     /// A server responded.
     /// @param named Requests per second that the server accepts from all
     ///              routers together; empty if it named no limit.
     /// @param sent  When the request was sent.
     std::function<void(
-        const std::string& server, std::optional<double> named, instant sent)>
-        answered;
+        const std::string& server,
+        std::optional<double> requests_per_second,
+        instant sent)>
+        response_received;
     /// Whether other routers have a newer configuration than the table's. What
     /// the table lacks may be defined there.
-    std::function<bool()> is_behind;
+    std::function<bool()> is_outdated;
 };
 
 /// Shared by all connections of one traffic thread. Used only on that thread.
 struct forward_context : edge::backend_context
 {
     forward_context(
-        const edge::backend_context& surroundings,
-        forward_options chosen,
-        header_dialect dialect,
-        forward_dependencies dependencies,
-        forward_metrics& counts)
-        : edge::backend_context(surroundings)
-        , settings(chosen)
-        , names(std::move(dialect))
-        , ports(std::move(dependencies))
-        , metrics(counts)
-        , random(chosen.seed)
+        const edge::backend_context& base_context,
+        forward_options chosen_options,
+        header_dialect used_headers,
+        forward_dependencies ports_used,
+        forward_metrics& shared_metrics)
+        : edge::backend_context(base_context)
+        , settings(chosen_options)
+        , names(std::move(used_headers))
+        , ports(std::move(ports_used))
+        , metrics(shared_metrics)
+        , random(chosen_options.seed)
     {
     }
 
-    shared_retry_budget& retries_of(const std::string& service)
+    shared_retry_budget& retry_budget_of(const std::string& service)
     {
-        return this->budgets
+        return this->retry_budgets
             .try_emplace(service, shared_retry_budget(this->settings.retries))
             .first->second;
     }
@@ -116,7 +120,7 @@
     bool draining = false;
 
 private:
-    std::unordered_map<std::string, shared_retry_budget> budgets;
+    std::unordered_map<std::string, shared_retry_budget> retry_budgets;
 };
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/forward_request.cpp
+++ b/src/adapters/forward/forward_request.cpp
@@ -30,7 +30,7 @@
     http::field::content_length,
 };
 
-std::string_view view(beast::string_view text)
+std::string_view to_string_view(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
@@ -42,13 +42,13 @@
 }
 
 /// @return Whether the `Connection` header lists this name.
-bool is_listed(const http::fields& fields, beast::string_view name)
+bool is_connection_option(const http::fields& fields, beast::string_view name)
 {
     auto listed = http::token_list(fields[http::field::connection]);
     return listed.exists(name);
 }
 
-bool is_set_here(const header_dialect& names, beast::string_view name)
+bool is_reserved(const header_dialect& names, beast::string_view name)
 {
     if (beast::iequals(name, names.deadline) ||
         beast::iequals(name, names.last_event))
@@ -61,18 +61,19 @@
         });
 }
 
-void add_line(std::string& to, std::string_view name, std::string_view value)
+void append_line(
+    std::string& lines, std::string_view name, std::string_view value)
 {
-    to += name;
-    to += ": ";
-    to += value;
-    to += "\r\n";
+    lines += name;
+    lines += ": ";
+    lines += value;
+    lines += "\r\n";
 }
 
 /// Sorts a request's header lines into those that are forwarded and those with
 /// credentials. Drops reserved and hop-by-hop headers.
-void add_lines(
-    forward_request& made,
+void sort_header_lines(
+    forward_request& result,
     const http::fields& fields,
     const header_dialect& names)
 {
@@ -80,18 +81,24 @@
     {
         const beast::string_view name = field.name_string();
         if (field.name() == http::field::authorization)
-            add_line(made.credentials, view(name), view(field.value()));
+            append_line(
+                result.credential_lines,
+                to_string_view(name),
+                to_string_view(field.value()));
         else if (
-            !is_hop_by_hop(field.name()) && !is_set_here(names, name) &&
-            !is_listed(fields, name))
-            add_line(made.header, view(name), view(field.value()));
+            !is_hop_by_hop(field.name()) && !is_reserved(names, name) &&
+            !is_connection_option(fields, name))
+            append_line(
+                result.header_lines,
+                to_string_view(name),
+                to_string_view(field.value()));
     }
 }
 
 /// @return The key of `Authorization: Bearer KEY`. Empty if there is none, or
 /// if
 ///         several `Authorization` headers make it ambiguous.
-std::string key_of(const http::fields& fields)
+std::string parse_bearer_key(const http::fields& fields)
 {
     constexpr beast::string_view scheme = "Bearer ";
     if (fields.count(http::field::authorization) != 1)
@@ -99,7 +106,7 @@
     const beast::string_view text = fields[http::field::authorization];
     if (!beast::iequals(text.substr(0, scheme.size()), scheme))
         return {};
-    std::string_view key = view(text.substr(scheme.size()));
+    std::string_view key = to_string_view(text.substr(scheme.size()));
     key.remove_prefix(std::min(key.find_first_not_of(' '), key.size()));
     return std::string(key);
 }
@@ -107,16 +114,16 @@
 /// @return The sum of two numbers that a comma separates; empty if malformed.
 std::optional<std::uint64_t> parse_tokens(std::string_view text)
 {
-    std::uint32_t in = 0;
-    std::uint32_t out = 0;
+    std::uint32_t prompt = 0;
+    std::uint32_t response = 0;
     const char* const end = text.data() + text.size();
-    const auto first = std::from_chars(text.data(), end, in);
+    const auto first = std::from_chars(text.data(), end, prompt);
     if (first.ec != std::errc() || first.ptr == end || *first.ptr != ',')
         return std::nullopt;
-    const auto second = std::from_chars(first.ptr + 1, end, out);
+    const auto second = std::from_chars(first.ptr + 1, end, response);
     if (second.ec != std::errc() || second.ptr != end)
         return std::nullopt;
-    return std::uint64_t(in) + out;
+    return std::uint64_t(prompt) + response;
 }
 
 std::optional<std::chrono::milliseconds>
@@ -125,15 +132,16 @@
     std::int64_t value = 0;
     const auto [end, error] =
         std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool whole = error == std::errc() && end == text.data() + text.size();
-    if (!whole || value < 0)
+    const bool is_number =
+        error == std::errc() && end == text.data() + text.size();
+    if (!is_number || value < 0)
         return std::nullopt;
     return std::chrono::milliseconds(value);
 }
 
 } // namespace
 
-fingerprint forward_request::content() const
+fingerprint forward_request::content_fingerprint() const
 {
     const auto add = [](std::uint64_t seed, std::string_view part)
     {
@@ -150,56 +158,60 @@
     edge::caller_parser& parser, const header_dialect& names, instant now)
 {
     auto& message = parser.get();
-    forward_request made;
-    made.method = view(message.method_string());
-    made.target = view(message.target());
-    made.host = view(message[http::field::host]);
-    made.id = view(message[names.request_id]);
-    made.model = view(message[names.model]);
-    made.deadline = parse_milliseconds(view(message[names.deadline]));
-    add_lines(made, message, names);
-    made.key = key_of(message);
-    made.tokens = parse_tokens(view(message[names.tokens]));
+    forward_request result;
+    result.method = to_string_view(message.method_string());
+    result.target = to_string_view(message.target());
+    result.host = to_string_view(message[http::field::host]);
+    result.id = to_string_view(message[names.request_id]);
+    result.model = to_string_view(message[names.model]);
+    result.deadline =
+        parse_milliseconds(to_string_view(message[names.deadline]));
+    sort_header_lines(result, message, names);
+    result.key = parse_bearer_key(message);
+    result.tokens = parse_tokens(to_string_view(message[names.tokens]));
     const auto last_event = message[names.last_event];
     if (!last_event.empty())
-        made.caller_has = view(last_event);
-    made.version = message.version();
-    made.keep_alive = message.keep_alive();
-    made.head_only = message.method() == http::verb::head;
-    made.body = std::move(message.body());
-    made.arrived = now;
-    return made;
+        result.caller_last_event = to_string_view(last_event);
+    result.version = message.version();
+    result.keep_alive = message.keep_alive();
+    result.head_only = message.method() == http::verb::head;
+    result.body = std::move(message.body());
+    result.arrived = now;
+    return result;
 }
 
-std::string make_backend_bytes(
+std::string serialize_backend_request(
     const forward_request& request,
     const header_dialect& names,
     const attempt_headers& attempt)
 {
     std::string bytes;
-    bytes.reserve(request.header.size() + request.body.size() + 512);
+    bytes.reserve(request.header_lines.size() + request.body.size() + 512);
     bytes += request.method;
     bytes += ' ';
     bytes += request.target;
     bytes += " HTTP/1.1\r\n";
-    bytes += request.header;
+    bytes += request.header_lines;
     if (attempt.with_credentials)
-        bytes += request.credentials;
+        bytes += request.credential_lines;
     if (!attempt.organisation.empty())
-        add_line(bytes, names.organisation, attempt.organisation);
-    add_line(bytes, names.deadline, std::to_string(attempt.deadline.count()));
+        append_line(bytes, names.organisation, attempt.organisation);
+    append_line(
+        bytes, names.deadline, std::to_string(attempt.deadline.count()));
     if (!attempt.instance.empty())
-        add_line(bytes, names.expect_instance, attempt.instance);
+        append_line(bytes, names.expect_instance, attempt.instance);
     if (attempt.priority)
-        add_line(bytes, names.priority, std::to_string(*attempt.priority));
-    const std::string_view last_event =
-        attempt.last_event.empty() ? request.caller_has : attempt.last_event;
+        append_line(bytes, names.priority, std::to_string(*attempt.priority));
+    const std::string_view last_event = attempt.last_event.empty()
+                                            ? request.caller_last_event
+                                            : attempt.last_event;
     if (!last_event.empty())
-        add_line(bytes, names.last_event, last_event);
+        append_line(bytes, names.last_event, last_event);
     const bool has_body = !request.body.empty() ||
                           (request.method != "GET" && request.method != "HEAD");
     if (has_body)
-        add_line(bytes, "Content-Length", std::to_string(request.body.size()));
+        append_line(
+            bytes, "Content-Length", std::to_string(request.body.size()));
     bytes += "\r\n";
     bytes += request.body;
     return bytes;
--- a/src/adapters/forward/forward_request.hpp
+++ b/src/adapters/forward/forward_request.hpp
@@ -21,13 +21,13 @@
     std::string method;
     std::string target; ///< path and query, as sent
     std::string host;
-    std::string id;         ///< empty: the caller sent none
-    std::string model;      ///< model or model/adapter; empty: none
-    std::string caller_has; ///< `Last-Event-Id` from the caller
-    std::string header;     ///< forwarded lines, each with its line end
+    std::string id;                ///< empty: the caller sent none
+    std::string model;             ///< model or model/adapter; empty: none
+    std::string caller_last_event; ///< `Last-Event-Id` from the caller
+    std::string header_lines;      ///< forwarded lines, each with its line end
     /// Header lines with the caller's credentials. Forwarded only if callers
     /// need no API key.
-    std::string credentials;
+    std::string credential_lines;
     std::string key;                     ///< API key; empty: none, or ambiguous
     std::optional<std::uint64_t> tokens; ///< sum for prompt and response
     std::string body;
@@ -40,7 +40,7 @@
 
     /// @return A hash of the method, target, model and body. It is the same
     ///         when the caller repeats the request.
-    fingerprint content() const;
+    fingerprint content_fingerprint() const;
 };
 
 /// Converts a parsed request. Leaves out hop-by-hop headers and headers that
@@ -60,7 +60,7 @@
 };
 
 /// @return The request as sent to a backend server, including the body.
-std::string make_backend_bytes(
+std::string serialize_backend_request(
     const forward_request& request,
     const header_dialect& names,
     const attempt_headers& attempt);
--- a/src/adapters/forward/forward_server.cpp
+++ b/src/adapters/forward/forward_server.cpp
@@ -21,7 +21,7 @@
 /// which other connections release meanwhile.
 constexpr std::chrono::milliseconds accept_pause{50};
 
-std::chrono::milliseconds to_ms(duration length)
+std::chrono::milliseconds to_milliseconds(duration length)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(length);
 }
@@ -31,10 +31,10 @@
 forward_server::forward_server(
     asio::any_io_executor loop,
     forward_context& shared,
-    edge::edge_options callers)
+    edge::edge_options caller_options)
     : executor(std::move(loop))
     , context(shared)
-    , limits(callers)
+    , limits(caller_options)
     , pool(this->executor, shared)
     , acceptor(this->executor)
     , sweep_timer(this->executor)
@@ -45,7 +45,7 @@
 {
     beast::error_code error = edge::listen_at(this->acceptor, endpoint);
     if (!error)
-        this->bound = this->acceptor.local_endpoint(error);
+        this->bound_endpoint = this->acceptor.local_endpoint(error);
     if (error)
         return error;
     asio::co_spawn(this->executor, this->accept(), asio::detached);
@@ -57,8 +57,8 @@
 {
     this->limits.max_header_bytes = bounds.max_header_bytes;
     this->limits.max_body_bytes = bounds.max_body_bytes;
-    this->limits.head_timeout = to_ms(bounds.header_timeout);
-    this->limits.caller_idle = to_ms(bounds.idle_timeout);
+    this->limits.head_timeout = to_milliseconds(bounds.header_timeout);
+    this->limits.caller_idle = to_milliseconds(bounds.idle_timeout);
 }
 
 asio::awaitable<void> forward_server::accept()
@@ -122,17 +122,17 @@
 {
     beast::error_code ignored;
     this->acceptor.close(ignored);
-    const std::vector<forward_session*> all(
+    const std::vector<forward_session*> open_sessions(
         this->sessions.begin(), this->sessions.end());
-    for (forward_session* session : all)
+    for (forward_session* session : open_sessions)
         session->close_idle();
 }
 
 void forward_server::force_end()
 {
-    const std::vector<forward_session*> all(
+    const std::vector<forward_session*> open_sessions(
         this->sessions.begin(), this->sessions.end());
-    for (forward_session* session : all)
+    for (forward_session* session : open_sessions)
         session->force_end();
 }
 
--- a/src/adapters/forward/forward_server.hpp
+++ b/src/adapters/forward/forward_server.hpp
@@ -53,7 +53,7 @@
 
     edge::tcp::endpoint local_endpoint() const
     {
-        return this->bound;
+        return this->bound_endpoint;
     }
 
 private:
@@ -66,7 +66,7 @@
     edge::edge_options limits;
     edge::backend_pool pool;
     edge::tcp::acceptor acceptor;
-    edge::tcp::endpoint bound;
+    edge::tcp::endpoint bound_endpoint;
     asio::steady_timer sweep_timer;
     std::unordered_set<forward_session*> sessions;
     bool stopped = false;
--- a/src/adapters/forward/forward_session.cpp
+++ b/src/adapters/forward/forward_session.cpp
@@ -15,7 +15,7 @@
 {
 
 /// @return The error status for invalid message framing; 0 if it is valid.
-unsigned framing_fault(const edge::caller_parser& parser)
+unsigned framing_error_status(const edge::caller_parser& parser)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<unsigned>
@@ -35,12 +35,12 @@
         });
 }
 
-own_answer turned_away_with(unsigned status)
+local_response make_request_error(unsigned status)
 {
-    own_answer made;
-    made.status = status;
-    made.reason = refusal_reason::bad_request;
-    return made;
+    local_response response;
+    response.status = status;
+    response.reason = refusal_reason::bad_request;
+    return response;
 }
 
 } // namespace
@@ -62,9 +62,9 @@
 
 asio::awaitable<void> forward_session::run()
 {
-    bool more = true;
-    while (more)
-        more = co_await this->serve_one();
+    bool reusable = true;
+    while (reusable)
+        reusable = co_await this->handle_next_request();
     co_await this->connection.linger_close();
 }
 
@@ -75,13 +75,13 @@
 
 void forward_session::force_end()
 {
-    if (this->running != nullptr)
-        this->running->force_end();
+    if (this->active_call != nullptr)
+        this->active_call->force_end();
     else
         this->connection.stream.close();
 }
 
-asio::awaitable<bool> forward_session::serve_one()
+asio::awaitable<bool> forward_session::handle_next_request()
 {
     edge::caller_parser parser;
     parser.header_limit(
@@ -91,29 +91,29 @@
         co_await this->connection.read_head(parser, this->options.caller_idle);
     if (read.result == edge::caller_read::status::closed)
         co_return false;
-    unsigned fault = read.problem.status;
+    unsigned error_status = read.problem.status;
     if (read.result == edge::caller_read::status::done)
-        fault = framing_fault(parser);
-    if (fault == 0)
+        error_status = framing_error_status(parser);
+    if (error_status == 0)
     {
         read = co_await this->connection.read_body(parser);
         if (read.result == edge::caller_read::status::closed)
             co_return false;
         if (read.result == edge::caller_read::status::malformed)
-            fault = read.problem.status;
+            error_status = read.problem.status;
     }
-    if (fault != 0)
+    if (error_status != 0)
     {
-        co_await this->turn_away(fault, parser);
+        co_await this->reject_request(error_status, parser);
         co_return false;
     }
-    const bool more = co_await this->serve(
+    const bool reusable = co_await this->handle_request(
         make_forward_request(parser, this->context.names, this->context.now()));
-    co_return more;
+    co_return reusable;
 }
 
-asio::awaitable<void>
-forward_session::turn_away(unsigned status, const edge::caller_parser& parser)
+asio::awaitable<void> forward_session::reject_request(
+    unsigned status, const edge::caller_parser& parser)
 {
     this->context.metrics.requests.increment(request_end::turned_away);
     const auto id = parser.get()[this->context.names.request_id];
@@ -123,51 +123,51 @@
          {"reason", "framing"},
          {"status", status}});
     const std::string bytes = to_bytes(
-        turned_away_with(status), this->context.names, {}, false, false);
+        make_request_error(status), this->context.names, {}, false, false);
     co_await this->connection.write_raw(bytes);
 }
 
-asio::awaitable<bool> forward_session::serve(forward_request request)
+asio::awaitable<bool> forward_session::handle_request(forward_request request)
 {
     constexpr unsigned not_found = 404;
     const serving_table_ptr table = this->context.ports.table();
     if (!table)
     {
-        const bool more = co_await this->answer(
-            make_own_answer(
+        const bool reusable = co_await this->send_response(
+            make_local_response(
                 refusal_reason::no_capacity,
                 verdict::not_run,
-                this->context.settings.start_retry),
+                this->context.settings.outdated_retry_after),
             request);
-        co_return more;
+        co_return reusable;
     }
     const path_route* route =
         table->routes().find(request.host, request.target);
     if (route == nullptr)
     {
-        const bool more = co_await this->answer(
-            this->unless_behind(turned_away_with(not_found)), request);
-        co_return more;
+        const bool reusable = co_await this->send_response(
+            this->retry_if_outdated(make_request_error(not_found)), request);
+        co_return reusable;
     }
     caller_organisation holder = find_caller(table->organisations(), request);
     const bool is_known = !holder.name.empty() || !holder.keys_required;
     if (!is_known && !route->keyless)
     {
-        const own_answer refused = make_own_answer(
+        const local_response refused = make_local_response(
             refusal_reason::unknown_key, verdict::not_run, duration::zero());
-        const bool more =
-            co_await this->answer(this->unless_behind(refused), request);
-        co_return more;
+        const bool reusable = co_await this->send_response(
+            this->retry_if_outdated(refused), request);
+        co_return reusable;
     }
-    if (table->is_blocked(request.content()))
+    if (table->is_blocked(request.content_fingerprint()))
     {
-        const bool more = co_await this->answer(
-            make_own_answer(
+        const bool reusable = co_await this->send_response(
+            make_local_response(
                 refusal_reason::blocked,
                 verdict::not_run,
-                this->context.settings.blocked_retry),
+                this->context.settings.blocked_retry_after),
             request);
-        co_return more;
+        co_return reusable;
     }
     std::string service(choose_service(*route, this->context.random()));
     const bool engines = table->has_engines(service);
@@ -180,43 +180,49 @@
         std::move(holder),
         std::move(service),
         engines);
-    this->running = &call;
-    const bool more = co_await call.run();
-    this->running = nullptr;
-    co_return more;
+    this->active_call = &call;
+    const bool reusable = co_await call.run();
+    this->active_call = nullptr;
+    co_return reusable;
 }
 
-own_answer forward_session::unless_behind(own_answer final_answer) const
+local_response
+forward_session::retry_if_outdated(local_response permanent_error) const
 {
-    if (!this->context.ports.is_behind())
-        return final_answer;
+    if (!this->context.ports.is_outdated())
+        return permanent_error;
     // Callers do not retry after a 404 or a 401.
-    return make_own_answer(
+    return make_local_response(
         refusal_reason::outdated,
         verdict::not_run,
-        this->context.settings.start_retry);
+        this->context.settings.outdated_retry_after);
 }
 
-asio::awaitable<bool>
-forward_session::answer(own_answer what, const forward_request& to)
+asio::awaitable<bool> forward_session::send_response(
+    local_response response, const forward_request& request)
 {
-    const bool keep = to.keep_alive && !this->context.draining;
+    const bool keep_open = request.keep_alive && !this->context.draining;
     this->context.metrics.requests.increment(
-        what.reason == refusal_reason::bad_request ? request_end::turned_away
-                                                   : request_end::refused);
+        response.reason == refusal_reason::bad_request
+            ? request_end::turned_away
+            : request_end::refused);
     this->context.events.report(
         event_id::request_ended,
-        {{"request_id", to.id},
+        {{"request_id", request.id},
          {"route", ""},
-         {"servable", to.model},
+         {"servable", request.model},
          {"end", "turned_away"},
-         {"status", what.status},
-         {"reason", to_string(what.reason)},
-         {"target", to.target}});
-    const std::string bytes =
-        to_bytes(what, this->context.names, to.id, keep, to.head_only);
+         {"status", response.status},
+         {"reason", to_string(response.reason)},
+         {"target", request.target}});
+    const std::string bytes = to_bytes(
+        response,
+        this->context.names,
+        request.id,
+        keep_open,
+        request.head_only);
     const bool written = co_await this->connection.write_raw(bytes);
-    co_return written&& keep;
+    co_return written&& keep_open;
 }
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/forward_session.hpp
+++ b/src/adapters/forward/forward_session.hpp
@@ -30,20 +30,21 @@
     void force_end();
 
 private:
-    asio::awaitable<bool> serve_one();
-    asio::awaitable<bool> serve(forward_request request);
-    asio::awaitable<bool> answer(own_answer what, const forward_request& to);
+    asio::awaitable<bool> handle_next_request();
+    asio::awaitable<bool> handle_request(forward_request request);
+    asio::awaitable<bool>
+    send_response(local_response response, const forward_request& request);
     /// @return The given response, or a retryable one if other routers have a
     ///         newer configuration.
-    own_answer unless_behind(own_answer final_answer) const;
+    local_response retry_if_outdated(local_response permanent_error) const;
     asio::awaitable<void>
-    turn_away(unsigned status, const edge::caller_parser& parser);
+    reject_request(unsigned status, const edge::caller_parser& parser);
 
     forward_context& context;
     edge::backend_pool& pool;
     const edge::edge_options options;
     edge::caller_connection connection;
-    forward_call* running = nullptr;
+    forward_call* active_call = nullptr;
 };
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/own_answer.cpp
+++ b/src/adapters/forward/local_response.cpp
@@ -1,4 +1,4 @@
-#include "adapters/forward/own_answer.hpp"
+#include "adapters/forward/local_response.hpp"
 
 #include <boost/beast/http/status.hpp>
 
@@ -31,9 +31,9 @@
         return too_many;
     if (outcome == verdict::not_run)
         return unavailable;
-    const bool late = reason == refusal_reason::backend_timeout ||
-                      reason == refusal_reason::deadline;
-    return late ? gateway_timeout : bad_gateway;
+    const bool is_timeout = reason == refusal_reason::backend_timeout ||
+                            reason == refusal_reason::deadline;
+    return is_timeout ? gateway_timeout : bad_gateway;
 }
 
 std::string seconds_text(duration length)
@@ -50,27 +50,27 @@
 
 } // namespace
 
-own_answer
-make_own_answer(refusal_reason reason, verdict outcome, duration retry_after)
+local_response make_local_response(
+    refusal_reason reason, verdict outcome, duration retry_after)
 {
     return {status_of(reason, outcome), outcome, reason, retry_after};
 }
 
 std::string to_bytes(
-    const own_answer& answer,
+    const local_response& response,
     const header_dialect& names,
     std::string_view id,
     bool keep_alive,
     bool head_only)
 {
     std::string body = R"({"verdict":")";
-    body += to_string(answer.outcome);
+    body += to_string(response.outcome);
     body += R"(","reason":")";
-    body += to_string(answer.reason);
+    body += to_string(response.reason);
     body += "\"}";
     const auto phrase =
-        http::obsolete_reason(static_cast<http::status>(answer.status));
-    std::string bytes = "HTTP/1.1 " + std::to_string(answer.status) + ' ';
+        http::obsolete_reason(static_cast<http::status>(response.status));
+    std::string bytes = "HTTP/1.1 " + std::to_string(response.status) + ' ';
     bytes.append(phrase.data(), phrase.size());
     bytes += "\r\nContent-Type: application/problem+json\r\nContent-Length: ";
     bytes += std::to_string(body.size()) + "\r\n";
@@ -81,9 +81,9 @@
         bytes += id;
         bytes += "\r\n";
     }
-    if (answer.retry_after > duration::zero())
-        bytes += "Retry-After: " + seconds_text(answer.retry_after) + "\r\n";
-    if (answer.status == unauthorized)
+    if (response.retry_after > duration::zero())
+        bytes += "Retry-After: " + seconds_text(response.retry_after) + "\r\n";
+    if (response.status == unauthorized)
         bytes += "WWW-Authenticate: Bearer\r\n";
     if (!keep_alive)
         bytes += "Connection: close\r\n";
--- a/src/adapters/forward/own_answer.hpp
+++ b/src/adapters/forward/local_response.hpp
@@ -12,7 +12,7 @@
 {
 
 /// A response that the router generates itself.
-struct own_answer
+struct local_response
 {
     unsigned status = 503;
     verdict outcome = verdict::not_run;
@@ -23,13 +23,13 @@
 /// @return The response to a request for which there is no backend server's
 ///         response. If the request may have run, the status never says that it
 ///         has not.
-own_answer make_own_answer(
+local_response make_local_response(
     refusal_reason reason, verdict outcome, duration retry_after = {});
 
 /// @param id Request ID; empty if unknown.
 /// @return   The serialised response.
 std::string to_bytes(
-    const own_answer& answer,
+    const local_response& response,
     const header_dialect& names,
     std::string_view id,
     bool keep_alive,
--- a/src/adapters/forward/probe_server.cpp
+++ b/src/adapters/forward/probe_server.cpp
@@ -17,28 +17,28 @@
 {
 
 /// Requests of probes are small. Larger ones are rejected.
-constexpr std::size_t most_header_bytes = 4096;
+constexpr std::size_t max_probe_header_bytes = 4096;
 
-std::string to_bytes(const probe_answer& answer)
+std::string to_bytes(const probe_answer& response)
 {
     const auto phrase =
-        http::obsolete_reason(static_cast<http::status>(answer.status));
-    std::string bytes = "HTTP/1.1 " + std::to_string(answer.status) + ' ';
+        http::obsolete_reason(static_cast<http::status>(response.status));
+    std::string bytes = "HTTP/1.1 " + std::to_string(response.status) + ' ';
     bytes.append(phrase.data(), phrase.size());
     bytes += "\r\nContent-Type: text/plain\r\nContent-Length: " +
-             std::to_string(answer.body.size()) + "\r\n\r\n";
-    bytes += answer.body;
+             std::to_string(response.body.size()) + "\r\n\r\n";
+    bytes += response.body;
     return bytes;
 }
 
 } // namespace
 
-probe_server::probe_server(asio::any_io_executor loop, handler answers)
+probe_server::probe_server(asio::any_io_executor loop, handler request_handler)
     : executor(std::move(loop))
-    , answer(std::move(answers))
+    , handle(std::move(request_handler))
     , acceptor(this->executor)
 {
-    this->options.max_header_bytes = most_header_bytes;
+    this->options.max_header_bytes = max_probe_header_bytes;
 }
 
 beast::error_code probe_server::listen(const edge::tcp::endpoint& endpoint)
@@ -66,8 +66,8 @@
 asio::awaitable<void> probe_server::serve(edge::tcp::socket socket)
 {
     edge::caller_connection connection(std::move(socket), this->options);
-    bool more = true;
-    while (more)
+    bool reusable = true;
+    while (reusable)
     {
         edge::caller_parser parser;
         const edge::caller_read read =
@@ -75,10 +75,10 @@
         if (read.result != edge::caller_read::status::done)
             co_return;
         const auto target = parser.get().target();
-        const probe_answer told =
-            this->answer(std::string_view(target.data(), target.size()));
-        more = co_await connection.write_raw(to_bytes(told));
-        more = more && parser.get().keep_alive();
+        const probe_answer response =
+            this->handle(std::string_view(target.data(), target.size()));
+        reusable = co_await connection.write_raw(to_bytes(response));
+        reusable = reusable && parser.get().keep_alive();
     }
     co_await connection.linger_close();
 }
--- a/src/adapters/forward/probe_server.hpp
+++ b/src/adapters/forward/probe_server.hpp
@@ -26,7 +26,7 @@
 public:
     using handler = std::function<probe_answer(std::string_view path)>;
 
-    probe_server(edge::asio::any_io_executor loop, handler answers);
+    probe_server(edge::asio::any_io_executor loop, handler request_handler);
 
     /// Binds to the endpoint and starts to accept connections.
     /// @return The error; empty on success.
@@ -39,7 +39,7 @@
     edge::asio::awaitable<void> serve(edge::tcp::socket socket);
 
     edge::asio::any_io_executor executor;
-    handler answer;
+    handler handle;
     edge::edge_options options;
     edge::tcp::acceptor acceptor;
 };
--- a/src/adapters/forward/quota_gate.cpp
+++ b/src/adapters/forward/quota_gate.cpp
@@ -17,9 +17,9 @@
 {
 
 /// State of a pending quota request, shared with its decision handler.
-struct open_draw
+struct pending_request
 {
-    explicit open_draw(const asio::any_io_executor& executor)
+    explicit pending_request(const asio::any_io_executor& executor)
         : timer(executor, asio::steady_timer::time_point::max())
     {
     }
@@ -38,42 +38,43 @@
 }
 
 asio::awaitable<std::optional<quota_decision>>
-quota_gate::pass(quota_request request, edge::call_inbox& inbox)
+quota_gate::acquire(quota_request request, edge::call_inbox& inbox)
 {
-    const auto open = std::make_shared<open_draw>(this->executor);
-    inbox.on_interrupt = [open]
+    const auto pending = std::make_shared<pending_request>(this->executor);
+    inbox.on_interrupt = [pending]
     {
-        open->timer.cancel();
+        pending->timer.cancel();
     };
     this->limits.draw(
         request,
-        [open, request, &port = this->limits, loop = this->executor](
-            const quota_decision& made)
+        [pending, request, &port = this->limits, loop = this->executor](
+            const quota_decision& outcome)
         {
             asio::post(
                 loop,
-                [open, request, &port, made]
+                [pending, request, &port, outcome]
                 {
-                    open->decision = made;
-                    open->timer.cancel();
-                    if (open->is_abandoned && made.is_allowed)
+                    pending->decision = outcome;
+                    pending->timer.cancel();
+                    if (pending->is_abandoned && outcome.is_allowed)
                         port.give_back(request.organisation, request.amount);
                 });
         });
-    while (!open->decision && !inbox.interrupted())
-        co_await open->timer.async_wait(edge::quietly);
-    const bool has_to_wait = open->decision && open->decision->is_allowed &&
-                             open->decision->wait > duration::zero();
+    while (!pending->decision && !inbox.interrupted())
+        co_await pending->timer.async_wait(edge::quietly);
+    const bool has_to_wait = pending->decision &&
+                             pending->decision->is_allowed &&
+                             pending->decision->wait > duration::zero();
     if (has_to_wait && !inbox.interrupted())
     {
-        open->timer.expires_after(open->decision->wait);
-        co_await open->timer.async_wait(edge::quietly);
+        pending->timer.expires_after(pending->decision->wait);
+        co_await pending->timer.async_wait(edge::quietly);
     }
     inbox.on_interrupt = nullptr;
     if (!inbox.interrupted())
-        co_return open->decision;
-    open->is_abandoned = true;
-    if (open->decision && open->decision->is_allowed)
+        co_return pending->decision;
+    pending->is_abandoned = true;
+    if (pending->decision && pending->decision->is_allowed)
         this->limits.give_back(request.organisation, request.amount);
     co_return std::nullopt;
 }
--- a/src/adapters/forward/quota_gate.hpp
+++ b/src/adapters/forward/quota_gate.hpp
@@ -24,7 +24,7 @@
     /// Requests quota, and waits as long as the decision says.
     /// @return The decision; empty if the call was interrupted.
     boost::asio::awaitable<std::optional<quota_decision>>
-    pass(quota_request request, edge::call_inbox& inbox);
+    acquire(quota_request request, edge::call_inbox& inbox);
 
 private:
     quota_port& limits;
--- a/src/adapters/forward/rate_limit_header.cpp
+++ b/src/adapters/forward/rate_limit_header.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-std::optional<double> parse(std::string_view text)
+std::optional<double> parse_number(std::string_view text)
 {
     double number = 0;
     const char* const end = text.data() + text.size();
@@ -26,22 +26,22 @@
 
 } // namespace
 
-named_rate_limit
-read_rate_limit(const answer_head& head, const header_dialect& names)
+server_rate_limit
+parse_rate_limit(const response_head& head, const header_dialect& names)
 {
-    named_rate_limit named;
+    server_rate_limit limit;
     const auto [first, last] = head.equal_range(names.rate_limit);
     for (auto field = first; field != last; ++field)
     {
         const auto value = field->value();
-        named.text = {value.data(), value.size()};
-        const auto number = parse(named.text);
+        limit.raw_value = {value.data(), value.size()};
+        const auto number = parse_number(limit.raw_value);
         if (number)
-            named.per_second =
-                std::min(named.per_second.value_or(*number), *number);
+            limit.requests_per_second =
+                std::min(limit.requests_per_second.value_or(*number), *number);
     }
-    named.is_malformed = first != last && !named.per_second;
-    return named;
+    limit.is_malformed = first != last && !limit.requests_per_second;
+    return limit;
 }
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/rate_limit_header.hpp
+++ b/src/adapters/forward/rate_limit_header.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/forward/header_dialect.hpp"
-#include "adapters/forward/relay_head.hpp"
+#include "adapters/forward/response_head.hpp"
 
 #include <optional>
 #include <string_view>
@@ -10,16 +10,16 @@
 {
 
 /// The rate limit that a response names for its server.
-struct named_rate_limit
+struct server_rate_limit
 {
-    std::optional<double> per_second; ///< empty: none that is valid
-    std::string_view text;            ///< as received; refers to the head
-    bool is_malformed = false;        ///< present, but no valid number
+    std::optional<double> requests_per_second; ///< empty: none that is valid
+    std::string_view raw_value; ///< as received; refers to the head
+    bool is_malformed = false;  ///< present, but no valid number
 };
 
 /// Uses the lowest of several values and ignores malformed ones.
 /// @return The rate limit that the response names.
-named_rate_limit
-read_rate_limit(const answer_head& head, const header_dialect& names);
+server_rate_limit
+parse_rate_limit(const response_head& head, const header_dialect& names);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/relay_head.cpp
+++ b/src/adapters/forward/response_head.cpp
@@ -1,4 +1,4 @@
-#include "adapters/forward/relay_head.hpp"
+#include "adapters/forward/response_head.hpp"
 
 #include <boost/beast/core/string.hpp>
 #include <boost/beast/http/field.hpp>
@@ -19,14 +19,14 @@
 constexpr unsigned status_unavailable = 503;
 constexpr unsigned status_request_timeout = 408;
 
-std::string_view view(beast::string_view text)
+std::string_view to_string_view(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
 /// @return Whether the header is forwarded. Hop-by-hop headers and the
 ///         `Content-Length` are not, because the response is framed anew.
-bool is_relayed(http::field name)
+bool is_forwarded(http::field name)
 {
     switch (name)
     {
@@ -46,7 +46,7 @@
 
 } // namespace
 
-bool says_not_run(const answer_head& head, const header_dialect& names)
+bool is_not_run_refusal(const response_head& head, const header_dialect& names)
 {
     const unsigned status = head.result_int();
     const bool refusal = status == status_unavailable ||
@@ -56,26 +56,28 @@
            (refusal && head.find(names.not_run) != head.end());
 }
 
-bool is_event_stream(const answer_head& head)
+bool is_event_stream(const response_head& head)
 {
     return beast::iequals(
         head[http::field::content_type].substr(0, 17), "text/event-stream");
 }
 
-std::string head_lines(const answer_head& head, const header_dialect& names)
+std::string
+serialize_head(const response_head& head, const header_dialect& names)
 {
     std::string lines = "HTTP/1.1 " + std::to_string(head.result_int()) + ' ';
-    lines += view(head.reason());
+    lines += to_string_view(head.reason());
     lines += "\r\n";
     for (const auto& field : head)
     {
-        const bool own = beast::iequals(field.name_string(), names.load) ||
-                         beast::iequals(field.name_string(), names.instance);
-        if (own || !is_relayed(field.name()))
+        const bool is_internal =
+            beast::iequals(field.name_string(), names.load) ||
+            beast::iequals(field.name_string(), names.instance);
+        if (is_internal || !is_forwarded(field.name()))
             continue;
-        lines += view(field.name_string());
+        lines += to_string_view(field.name_string());
         lines += ": ";
-        lines += view(field.value());
+        lines += to_string_view(field.value());
         lines += "\r\n";
     }
     return lines;
--- a/src/adapters/forward/relay_head.hpp
+++ b/src/adapters/forward/response_head.hpp
@@ -11,16 +11,17 @@
 {
 
 /// Status line and headers of a backend server's response.
-using answer_head = boost::beast::http::response_header<>;
+using response_head = boost::beast::http::response_header<>;
 
 /// @return Whether the response states that the request did not run.
-bool says_not_run(const answer_head& head, const header_dialect& names);
+bool is_not_run_refusal(const response_head& head, const header_dialect& names);
 
 /// @return Whether the body is a stream of server-sent events.
-bool is_event_stream(const answer_head& head);
+bool is_event_stream(const response_head& head);
 
 /// @return The status line and the forwarded headers. Hop-by-hop headers and
 ///         those meant only for the router are left out.
-std::string head_lines(const answer_head& head, const header_dialect& names);
+std::string
+serialize_head(const response_head& head, const header_dialect& names);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/server_exchange.cpp
+++ b/src/adapters/forward/server_exchange.cpp
@@ -16,9 +16,9 @@
 
 /// Limit on heads read for one request. Interim responses and responses to
 /// other requests are skipped.
-constexpr int most_passed_over = 4;
+constexpr int max_skipped_heads = 4;
 
-std::string_view view(beast::string_view text)
+std::string_view to_string_view(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
@@ -46,7 +46,7 @@
     duration longest_idle,
     instant until)
 {
-    this->where = std::move(address);
+    this->server_address = std::move(address);
     this->deadline = until;
     this->inbox.on_interrupt = [this]
     {
@@ -54,77 +54,78 @@
             this->connection->stream.close();
     };
     exchange_state state = co_await this->open(longest_idle);
-    if (state != exchange_state::good)
+    if (state != exchange_state::ok)
         co_return state;
-    const bool kept = this->connection->pooled;
+    const bool was_pooled = this->connection->pooled;
     state = co_await this->write(bytes);
-    const bool untouched =
-        state != exchange_state::good && kept && !this->was_sent;
-    if (!untouched || this->inbox.interrupted())
+    const bool nothing_sent =
+        state != exchange_state::ok && was_pooled && !this->any_byte_sent;
+    if (!nothing_sent || this->inbox.interrupted())
         co_return state;
     // The kept connection was already closed, and no byte was sent on it.
     state = co_await this->open(duration::min());
-    if (state == exchange_state::good)
+    if (state == exchange_state::ok)
         state = co_await this->write(bytes);
     co_return state;
 }
 
 asio::awaitable<exchange_state> server_exchange::open(duration longest_idle)
 {
-    this->connection = this->pool.take(this->where, longest_idle);
+    this->connection = this->pool.take(this->server_address, longest_idle);
     if (this->connection)
-        co_return exchange_state::good;
-    this->connection = this->pool.make(this->where);
-    const duration left = this->deadline - this->context.now();
-    const duration most = this->context.options.connect_timeout;
+        co_return exchange_state::ok;
+    this->connection = this->pool.make(this->server_address);
+    const duration remaining = this->deadline - this->context.now();
+    const duration max_timeout = this->context.options.connect_timeout;
     const bool opened = co_await edge::connect(
         *this->connection,
-        std::clamp(left, duration(1), most),
+        std::clamp(remaining, duration(1), max_timeout),
         this->context.options.unacknowledged);
     if (this->inbox.interrupted())
         co_return exchange_state::interrupted;
-    co_return opened ? exchange_state::good : exchange_state::not_sent;
+    co_return opened ? exchange_state::ok : exchange_state::not_sent;
 }
 
 asio::awaitable<exchange_state> server_exchange::write(std::string_view bytes)
 {
-    this->limit();
+    this->apply_deadline();
     const auto [error, size] = co_await asio::async_write(
         this->connection->stream,
         asio::buffer(bytes.data(), bytes.size()),
         edge::quietly);
-    this->was_sent = this->was_sent || size != 0;
+    this->any_byte_sent = this->any_byte_sent || size != 0;
     if (!error)
-        co_return exchange_state::good;
-    if (!this->was_sent)
+        co_return exchange_state::ok;
+    if (!this->any_byte_sent)
         co_return this->inbox.interrupted() ? exchange_state::interrupted
                                             : exchange_state::not_sent;
-    co_return this->failed(error);
+    co_return this->failure_state(error);
 }
 
 asio::awaitable<exchange_state> server_exchange::read_head(
     const header_dialect& names, std::string_view id, bool head_only)
 {
-    for (int passed_over = 0; passed_over < most_passed_over; ++passed_over)
+    for (int skipped = 0; skipped < max_skipped_heads; ++skipped)
     {
         const exchange_state state = co_await this->read_one_head(head_only);
-        if (state != exchange_state::good)
+        if (state != exchange_state::ok)
             co_return state;
         if (this->head().result_int() < first_final_status)
             continue;
-        const std::string_view echoed = view(this->head()[names.request_id]);
+        const std::string_view echoed =
+            to_string_view(this->head()[names.request_id]);
         if (echoed.empty() || echoed == id)
         {
             this->pool.answered(*this->connection);
-            co_return exchange_state::good;
+            co_return exchange_state::ok;
         }
-        this->crossed = true;
+        this->response_skipped = true;
         this->context.observer.late_answer_dropped();
         std::string_view piece;
         do
         {
-            const exchange_state rest = co_await this->read_some(piece);
-            if (rest != exchange_state::good || this->until_closed)
+            const exchange_state skip_state = co_await this->read_some(piece);
+            if (skip_state != exchange_state::ok || this->close_delimited)
                 co_return exchange_state::broken;
         } while (!piece.empty());
     }
@@ -137,16 +138,16 @@
     this->parser->header_limit(static_cast<std::uint32_t>(edge::max_buffered));
     this->parser->body_limit(boost::none);
     this->parser->skip(head_only);
-    this->limit();
+    this->apply_deadline();
     const auto [error, size] = co_await http::async_read_header(
         this->connection->stream,
         this->connection->buffer,
         *this->parser,
         edge::quietly);
     if (error)
-        co_return this->failed(error);
-    this->until_closed = this->parser->need_eof();
-    co_return exchange_state::good;
+        co_return this->failure_state(error);
+    this->close_delimited = this->parser->need_eof();
+    co_return exchange_state::ok;
 }
 
 asio::awaitable<exchange_state>
@@ -159,34 +160,35 @@
         body.data = this->buffer.data();
         body.size = this->buffer.size();
         body.more = true;
-        this->limit();
+        this->apply_deadline();
         const auto [error, size] = co_await http::async_read_some(
             this->connection->stream,
             this->connection->buffer,
             *this->parser,
             edge::quietly);
-        const std::size_t got = this->buffer.size() - body.size;
+        const std::size_t received = this->buffer.size() - body.size;
         if (error && error != http::error::need_buffer)
-            co_return this->failed(error);
-        if (got == 0)
+            co_return this->failure_state(error);
+        if (received == 0)
             continue;
-        piece = {this->buffer.data(), got};
-        co_return exchange_state::good;
+        piece = {this->buffer.data(), received};
+        co_return exchange_state::ok;
     }
-    co_return exchange_state::good;
+    co_return exchange_state::ok;
 }
 
-void server_exchange::release()
+void server_exchange::return_to_pool()
 {
-    const bool reusable = this->ended() && !this->until_closed &&
-                          !this->crossed && this->parser->get().keep_alive();
+    const bool reusable = this->is_complete() && !this->close_delimited &&
+                          !this->response_skipped &&
+                          this->parser->get().keep_alive();
     if (!reusable || !this->connection)
         return;
     this->connection->stream.expires_never();
     this->pool.put(std::move(this->connection));
 }
 
-exchange_state server_exchange::failed(beast::error_code error) const
+exchange_state server_exchange::failure_state(beast::error_code error) const
 {
     if (this->inbox.interrupted())
         return exchange_state::interrupted;
@@ -195,10 +197,10 @@
     return exchange_state::broken;
 }
 
-void server_exchange::limit()
+void server_exchange::apply_deadline()
 {
-    const duration left = this->deadline - this->context.now();
-    this->connection->stream.expires_after(std::max(left, duration(1)));
+    const duration remaining = this->deadline - this->context.now();
+    this->connection->stream.expires_after(std::max(remaining, duration(1)));
 }
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/server_exchange.hpp
+++ b/src/adapters/forward/server_exchange.hpp
@@ -4,7 +4,7 @@
 #include "adapters/edge/call_inbox.hpp"
 #include "adapters/edge/net.hpp"
 #include "adapters/forward/forward_context.hpp"
-#include "adapters/forward/relay_head.hpp"
+#include "adapters/forward/response_head.hpp"
 
 #include <boost/beast/http/buffer_body.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -24,7 +24,7 @@
 /// Outcome of a step of an exchange with a backend server.
 enum class exchange_state : std::uint8_t
 {
-    good,       ///< succeeded so far
+    ok,         ///< succeeded so far
     not_sent,   ///< no byte was sent
     broken,     ///< the connection broke, or the response was invalid
     timed_out,  ///< the deadline passed
@@ -70,18 +70,18 @@
     /// has ended.
     asio::awaitable<exchange_state> read_some(std::string_view& piece);
 
-    const answer_head& head() const
+    const response_head& head() const
     {
         return this->parser->get().base();
     }
 
     /// @return Whether the body extends to the end of the connection.
-    bool unframed() const
+    bool is_close_delimited() const
     {
-        return this->until_closed;
+        return this->close_delimited;
     }
 
-    bool ended() const
+    bool is_complete() const
     {
         return this->parser && this->parser->is_done();
     }
@@ -89,33 +89,33 @@
     /// @return Whether a byte of the request was handed to the kernel.
     bool sent() const
     {
-        return this->was_sent;
+        return this->any_byte_sent;
     }
 
     /// Returns the connection to the pool if the response was completely read
     /// and the connection can be reused.
-    void release();
+    void return_to_pool();
 
 private:
-    using answer_parser = http::response_parser<http::buffer_body>;
+    using buffered_parser = http::response_parser<http::buffer_body>;
 
     asio::awaitable<exchange_state> open(duration longest_idle);
     asio::awaitable<exchange_state> read_one_head(bool head_only);
     asio::awaitable<exchange_state> write(std::string_view bytes);
-    exchange_state failed(beast::error_code error) const;
-    void limit();
+    exchange_state failure_state(beast::error_code error) const;
+    void apply_deadline();
 
     forward_context& context;
     edge::backend_pool& pool;
     edge::call_inbox& inbox;
-    std::string where;
+    std::string server_address;
     instant deadline;
     edge::backend_connection_ptr connection;
-    std::optional<answer_parser> parser;
+    std::optional<buffered_parser> parser;
     std::array<char, std::size_t(16) << 10> buffer;
-    bool was_sent = false;
-    bool until_closed = false;
-    bool crossed = false; ///< a response to another request came first
+    bool any_byte_sent = false;
+    bool close_delimited = false;
+    bool response_skipped = false; ///< a response to another request came first
 };
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/event_cutter.cpp
+++ b/src/adapters/forward/sse_event_splitter.cpp
@@ -1,4 +1,4 @@
-#include "adapters/forward/event_cutter.hpp"
+#include "adapters/forward/sse_event_splitter.hpp"
 
 #include <utility>
 
@@ -12,9 +12,9 @@
 
 } // namespace
 
-std::string event_cutter::feed(std::string_view bytes)
+std::string sse_event_splitter::feed(std::string_view bytes)
 {
-    std::string whole;
+    std::string completed_events;
     for (const char byte : bytes)
     {
         this->pending.push_back(byte);
@@ -25,23 +25,23 @@
         line.remove_suffix(1);
         if (line.ends_with('\r'))
             line.remove_suffix(1);
-        const bool blank = line.empty();
-        if (!blank)
-            this->end_line();
+        const bool is_blank = line.empty();
+        if (!is_blank)
+            this->parse_line();
         this->line_start = this->pending.size();
-        if (!blank)
+        if (!is_blank)
             continue;
-        whole += this->pending;
+        completed_events += this->pending;
         if (!this->pending_id.empty())
             this->id = std::exchange(this->pending_id, {});
         ++this->count;
         this->pending.clear();
         this->line_start = 0;
     }
-    return whole;
+    return completed_events;
 }
 
-void event_cutter::end_line()
+void sse_event_splitter::parse_line()
 {
     std::string_view line =
         std::string_view(this->pending).substr(this->line_start);
@@ -55,13 +55,13 @@
     this->pending_id = line;
 }
 
-std::string event_cutter::take_rest()
+std::string sse_event_splitter::take_remainder()
 {
     this->line_start = 0;
     return std::exchange(this->pending, {});
 }
 
-void event_cutter::restart()
+void sse_event_splitter::discard_incomplete()
 {
     this->pending.clear();
     this->pending_id.clear();
--- a/src/adapters/forward/event_cutter.hpp
+++ b/src/adapters/forward/sse_event_splitter.hpp
@@ -15,12 +15,12 @@
     on another server, no fragment of an interrupted event precedes the events
     of that server.
 */
-class event_cutter
+class sse_event_splitter
 {
 public:
     /// @param max_event_bytes Largest event that is accepted.
-    explicit event_cutter(std::size_t max_event_bytes)
-        : limit(max_event_bytes)
+    explicit sse_event_splitter(std::size_t max_event_bytes)
+        : max_pending_bytes(max_event_bytes)
     {
     }
 
@@ -30,15 +30,15 @@
 
     /// Removes the bytes of the incomplete event.
     /// @return These bytes.
-    std::string take_rest();
+    std::string take_remainder();
 
     /// Discards the incomplete event before the response of another attempt.
-    void restart();
+    void discard_incomplete();
 
     /// @return Whether the incomplete event is larger than the limit.
-    bool overrun() const
+    bool exceeds_limit() const
     {
-        return this->pending.size() > this->limit;
+        return this->pending.size() > this->max_pending_bytes;
     }
 
     /// @return The ID of the latest complete event that has one; empty if none.
@@ -47,15 +47,15 @@
         return this->id;
     }
 
-    std::uint32_t events() const
+    std::uint32_t event_count() const
     {
         return this->count;
     }
 
 private:
-    void end_line();
+    void parse_line();
 
-    std::size_t limit;
+    std::size_t max_pending_bytes;
     std::string pending;
     std::size_t line_start = 0;
     std::string pending_id;
--- a/tests/unit/forward/forward_fixture.cpp
+++ b/tests/unit/forward/forward_fixture.cpp
@@ -32,13 +32,13 @@
 
 organisation make_organisation(std::string name, std::string_view key)
 {
-    organisation made;
-    made.name = std::move(name);
-    made.counts_tokens = true;
-    made.plain_tokens = 200;
+    organisation result;
+    result.name = std::move(name);
+    result.counts_tokens = true;
+    result.plain_tokens = 200;
     if (!key.empty())
-        made.keys = {digest_of(key)};
-    return made;
+        result.keys = {digest_of(key)};
+    return result;
 }
 
 std::vector<organisation> make_organisations(std::string_view first_key)
@@ -67,45 +67,45 @@
     auto catalogue = std::make_shared<servable_catalogue>();
     catalogue->routes = std::make_shared<route_index>(config);
     catalogue->organisations = std::make_shared<organisation_index>(config);
-    serving_table::parts made;
-    made.catalogue = catalogue;
-    service_routes& app = made.services["app"];
+    serving_table::parts result;
+    result.catalogue = catalogue;
+    service_routes& app = result.services["app"];
     app.name = "app";
     int number = 0;
     for (const fake_backend* backend : backends)
     {
         const std::string id = "i-" + std::to_string(++number);
         app.backends.push_back({backend->address(), id, "a"});
-        made.servers[backend->address()] = {id, "app", "a"};
+        result.servers[backend->address()] = {id, "app", "a"};
     }
-    return std::make_shared<const serving_table>(std::move(made));
+    return std::make_shared<const serving_table>(std::move(result));
 }
 
 edge::edge_options make_limits()
 {
-    edge::edge_options made;
-    made.caller_idle = std::chrono::seconds(60);
-    return made;
+    edge::edge_options result;
+    result.caller_idle = std::chrono::seconds(60);
+    return result;
 }
 
 } // namespace
 
 forward_fixture::forward_fixture(std::vector<fake_backend*> backends)
-    : counts(this->registry)
-    , loop(1)
-    , work(this->loop.get_executor())
+    : forward_counters(this->registry)
+    , event_loop(1)
+    , loop_guard(this->event_loop.get_executor())
     , servers(std::move(backends))
     , table(make_table(this->servers))
     , dispatch(edge::shared_dispatcher::make(
           dispatcher(dispatcher::options{.affinity = prefix_affinity::none}),
-          this->loop.get_executor(),
+          this->event_loop.get_executor(),
           this->clock,
           {[](const demand&) {},
            [](const crash_seen&) {},
            [this](const permit_wanted& what)
            {
                asio::post(
-                   this->loop,
+                   this->event_loop,
                    [this, what]
                    {
                        this->dispatch->permit_refused(
@@ -113,7 +113,7 @@
                    });
            }}))
     , context(this->make_context())
-    , server(this->loop.get_executor(), this->context, make_limits())
+    , server(this->event_loop.get_executor(), this->context, make_limits())
 {
     this->dispatch->table_changed(this->table);
     const auto failed =
@@ -123,19 +123,19 @@
     this->thread = std::thread(
         [this]
         {
-            this->loop.run();
+            this->event_loop.run();
         });
 }
 
 forward_fixture::~forward_fixture()
 {
     asio::post(
-        this->loop,
+        this->event_loop,
         [this]
         {
             this->server.force_end();
             this->server.stop();
-            this->loop.stop();
+            this->event_loop.stop();
         });
     this->thread.join();
     this->dispatch->stop();
@@ -143,10 +143,14 @@
 
 forward_context forward_fixture::make_context()
 {
-    const edge::backend_context surroundings(
-        make_limits(), this->clock, this->sink, this->counts, nullptr);
-    const auto nothing = [](const std::string&, const std::string&) {};
-    forward_dependencies ports{
+    const edge::backend_context base_context(
+        make_limits(),
+        this->clock,
+        this->sink,
+        this->forward_counters,
+        nullptr);
+    const auto ignore = [](const std::string&, const std::string&) {};
+    forward_dependencies dependencies{
         *this->dispatch,
         this->limits,
         [this]
@@ -159,86 +163,91 @@
             return std::size_t(1);
         },
         [](const load_report&) {},
-        nothing,
-        nothing,
-        nothing,
+        ignore,
+        ignore,
+        ignore,
         [this](const std::string& server)
         {
             const std::lock_guard lock(this->mutex);
-            this->unreached_servers.push_back(server);
+            this->unreachable_servers.push_back(server);
         },
         [](const std::string&, fingerprint) {},
-        [this](const std::string& server, std::optional<double> named, instant)
+        [this](
+            const std::string& server,
+            std::optional<double> requests_per_second,
+            instant)
         {
-            this->limit_named(server, named);
+            this->record_rate_limit(server, requests_per_second);
         },
         [this]
         {
-            return this->is_behind.load();
+            return this->is_outdated.load();
         }};
     return {
-        surroundings,
+        base_context,
         forward_options(),
         users_platform::make_dialect(),
-        std::move(ports),
-        this->counts};
+        std::move(dependencies),
+        this->forward_counters};
 }
 
-void forward_fixture::limit_named(
-    const std::string& server, std::optional<double> named)
+void forward_fixture::record_rate_limit(
+    const std::string& server, std::optional<double> requests_per_second)
 {
     const std::lock_guard lock(this->mutex);
-    this->named_limits.push_back({server, named});
+    this->rate_limit_reports.push_back({server, requests_per_second});
     for (std::size_t i = 0; i < this->servers.size(); ++i)
     {
         if (server == "i-" + std::to_string(i + 1))
             this->dispatch->server_limited(
-                {{}, this->servers[i]->address()}, named.value_or(0));
+                {{}, this->servers[i]->address()},
+                requests_per_second.value_or(0));
     }
 }
 
-std::vector<forward_fixture::server_word> forward_fixture::limits_named()
+std::vector<forward_fixture::rate_limit_report>
+forward_fixture::reported_rate_limits()
 {
     const std::lock_guard lock(this->mutex);
-    return this->named_limits;
+    return this->rate_limit_reports;
 }
 
-std::vector<std::string> forward_fixture::unreached()
+std::vector<std::string> forward_fixture::failed_connects()
 {
     const std::lock_guard lock(this->mutex);
-    return this->unreached_servers;
+    return this->unreachable_servers;
 }
 
-void fake_limits::draw(quota_request request, handler told)
+void fake_quota_port::draw(quota_request request, handler on_decision)
 {
-    quota_decision made;
+    quota_decision result;
     {
         const std::lock_guard lock(this->mutex);
-        this->asked.push_back(std::move(request));
-        made = this->next;
+        this->recorded_requests.push_back(std::move(request));
+        result = this->decision;
     }
-    told(made);
+    on_decision(result);
 }
 
-void fake_limits::give_back(std::string, double amount)
+void fake_quota_port::give_back(std::string, double amount)
 {
     const std::lock_guard lock(this->mutex);
-    this->returned += amount;
+    this->returned_amount += amount;
 }
 
-void forward_fixture::with_organisations()
+void forward_fixture::use_organisations()
 {
     const std::lock_guard lock(this->mutex);
     this->table = make_table(this->servers, make_organisations("key-one"));
 }
 
-void forward_fixture::drop_first_key()
+void forward_fixture::revoke_first_key()
 {
     const std::lock_guard lock(this->mutex);
     this->table = make_table(this->servers, make_organisations({}));
 }
 
-void forward_fixture::without_table()
+void forward_fixture::clear_table()
 {
     const std::lock_guard lock(this->mutex);
     this->table = nullptr;
@@ -256,10 +265,10 @@
 {
     tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(bytes.data(), bytes.size()));
-    std::string answer;
+    std::string response;
     boost::system::error_code ended;
-    asio::read(socket, asio::dynamic_buffer(answer), ended);
-    return answer;
+    asio::read(socket, asio::dynamic_buffer(response), ended);
+    return response;
 }
 
 std::string forward_fixture::request(
@@ -275,7 +284,7 @@
     return text;
 }
 
-void forward_fixture::leave(std::string_view bytes)
+void forward_fixture::disconnect_during_response(std::string_view bytes)
 {
     tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(bytes.data(), bytes.size()));
@@ -283,16 +292,16 @@
     asio::read(socket, asio::buffer(byte));
 }
 
-void forward_fixture::depart(std::string_view bytes)
+void forward_fixture::disconnect_during_quota_wait(std::string_view bytes)
 {
     tcp::socket socket = this->connect();
     asio::write(socket, asio::buffer(bytes.data(), bytes.size()));
-    const auto has_asked = [this]
+    const auto quota_requested = [this]
     {
         const std::lock_guard lock(this->limits.mutex);
-        return !this->limits.asked.empty();
+        return !this->limits.recorded_requests.empty();
     };
-    while (!has_asked())
+    while (!quota_requested())
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
--- a/tests/unit/forward/forward_fixture.hpp
+++ b/tests/unit/forward/forward_fixture.hpp
@@ -25,16 +25,16 @@
 using edge::tests::fake_backend;
 
 /// Returns the same decision for all requests and records them.
-class fake_limits final : public quota_port
+class fake_quota_port final : public quota_port
 {
 public:
-    void draw(quota_request request, handler told) override;
+    void draw(quota_request request, handler on_decision) override;
     void give_back(std::string organisation, double amount) override;
 
     std::mutex mutex;
-    quota_decision next{0, true, {}, {}};
-    std::vector<quota_request> asked;
-    double returned = 0;
+    quota_decision decision{0, true, {}, {}};
+    std::vector<quota_request> recorded_requests;
+    double returned_amount = 0;
 };
 
 /** Forwards over real sockets and the real dispatcher to fake backend servers
@@ -54,37 +54,37 @@
     forward_fixture& operator=(const forward_fixture&) = delete;
 
     /// Removes the serving table, as before the first configuration.
-    void without_table();
+    void clear_table();
 
     /// From now on callers need API keys. Organisation `o1` holds `key-one` and
     /// has a limit. `o2` holds `key-two`, has no limit and is less urgent. The
     /// route `/open/` needs no key.
-    void with_organisations();
+    void use_organisations();
 
     /// Changes the configuration: `o1` no longer holds a key.
-    void drop_first_key();
+    void revoke_first_key();
 
     /// Whether other routers have a newer configuration.
-    std::atomic<bool> is_behind{false};
+    std::atomic<bool> is_outdated{false};
 
     /// Decides on the limits of organisations.
-    fake_limits limits;
+    fake_quota_port limits;
 
     /// @return Servers to which no connection could be opened, in order.
-    std::vector<std::string> unreached();
+    std::vector<std::string> failed_connects();
 
     /// The rate limit that one response of a server named.
-    struct server_word
+    struct rate_limit_report
     {
         std::string server;
-        std::optional<double> per_second;
+        std::optional<double> requests_per_second;
     };
 
     /// @return One report for each response of a server, in order. A server
     /// that
     ///         named a limit gets no more requests, because each permit is
     ///         refused.
-    std::vector<server_word> limits_named();
+    std::vector<rate_limit_report> reported_rate_limits();
 
     /// Sends bytes on a new connection.
     /// @return All bytes received until the connection ends.
@@ -99,29 +99,30 @@
 
     /// Sends a request and closes the connection after the first byte of the
     /// response.
-    void leave(std::string_view bytes);
+    void disconnect_during_response(std::string_view bytes);
 
     /// Sends a request and closes the connection after quota was requested for
     /// it.
-    void depart(std::string_view bytes);
+    void disconnect_during_quota_wait(std::string_view bytes);
 
 private:
     boost::asio::ip::tcp::socket connect();
     forward_context make_context();
-    void limit_named(const std::string& server, std::optional<double> named);
+    void record_rate_limit(
+        const std::string& server, std::optional<double> requests_per_second);
 
     platform::system_clock clock;
     events::null_event_sink sink;
     metrics::metrics_registry registry;
-    forward_metrics counts;
-    boost::asio::io_context loop;
+    forward_metrics forward_counters;
+    boost::asio::io_context event_loop;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        work;
+        loop_guard;
     std::mutex mutex;
     std::vector<fake_backend*> servers;
     serving_table_ptr table;
-    std::vector<std::string> unreached_servers;
-    std::vector<server_word> named_limits;
+    std::vector<std::string> unreachable_servers;
+    std::vector<rate_limit_report> rate_limit_reports;
     std::shared_ptr<edge::shared_dispatcher> dispatch;
     forward_context context;
     forward_server server;
--- a/tests/unit/forward/test_forward_request.cpp
+++ b/tests/unit/forward/test_forward_request.cpp
@@ -1,5 +1,5 @@
 #include "adapters/forward/forward_request.hpp"
-#include "adapters/forward/own_answer.hpp"
+#include "adapters/forward/local_response.hpp"
 #include "platform/dialect.hpp"
 
 #include <boost/asio/buffer.hpp>
@@ -25,7 +25,7 @@
         parser, users_platform::make_dialect(), instant(1s));
 }
 
-const std::string_view usual =
+const std::string_view typical_request =
     "POST /a/b?c HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 9c41\r\n"
     "Last-Event-Id: 12\r\nModel: m1/a3\r\nToken-Usage: 1460,80\r\n"
     "Deadline-Ms: 6000\r\nX-Own: 1\r\nX-Own: 2\r\nContent-Length: 3\r\n"
@@ -33,9 +33,9 @@
 
 } // namespace
 
-Test(forward_request, takes_the_parts_that_matter)
+Test(forward_request, extracts_target_and_headers)
 {
-    const forward_request request = parse(usual);
+    const forward_request request = parse(typical_request);
     cr_assert_eq(request.target, "/a/b?c");
     cr_assert_eq(request.host, "h.example");
     cr_assert_eq(request.id, "9c41");
@@ -45,10 +45,10 @@
     cr_assert(request.keep_alive);
 }
 
-Test(forward_request, forwards_callers_headers_and_its_own)
+Test(forward_request, forwards_caller_headers_and_adds_attempt_headers)
 {
-    const forward_request request = parse(usual);
-    const std::string bytes = make_backend_bytes(
+    const forward_request request = parse(typical_request);
+    const std::string bytes = serialize_backend_request(
         request, users_platform::make_dialect(), {1500ms, "i-7", 2U, {}});
     cr_assert_eq(
         bytes,
@@ -58,10 +58,10 @@
         "Last-Event-Id: 12\r\nContent-Length: 3\r\n\r\nabc");
 }
 
-Test(forward_request, a_stream_that_goes_on_names_its_own_last_event)
+Test(forward_request, a_resumed_stream_sends_the_routers_last_event_id)
 {
-    const std::string bytes = make_backend_bytes(
-        parse(usual),
+    const std::string bytes = serialize_backend_request(
+        parse(typical_request),
         users_platform::make_dialect(),
         {1500ms, "i-7", {}, "19"});
     cr_assert_neq(bytes.find("Last-Event-Id: 19\r\n"), std::string::npos);
@@ -70,7 +70,7 @@
 
 /// Headers that only the router sets must not come from a caller, and
 /// hop-by-hop headers must not reach a server.
-Test(forward_request, leaves_out_reserved_and_connection_headers)
+Test(forward_request, drops_reserved_and_hop_by_hop_headers)
 {
     const forward_request request = parse(
         "GET / HTTP/1.1\r\nHost: h\r\nHold: 1\r\npin-ms: 5\r\nKv-From: x\r\n"
@@ -78,15 +78,15 @@
         "Expect-Version: 3\r\nRequest-Priority: 0\r\nConnection: keep-alive, "
         "x-hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\n"
         "Upgrade: h2c\r\nProxy-Connection: close\r\nAttempt-Id: 1\r\n\r\n");
-    cr_assert_eq(request.header, "Host: h\r\nAttempt-Id: 1\r\n");
+    cr_assert_eq(request.header_lines, "Host: h\r\nAttempt-Id: 1\r\n");
 }
 
-Test(forward_request, a_chunked_body_goes_on_with_its_length)
+Test(forward_request, a_chunked_body_is_forwarded_with_content_length)
 {
     const forward_request request =
         parse("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
               "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
-    const std::string bytes = make_backend_bytes(
+    const std::string bytes = serialize_backend_request(
         request, users_platform::make_dialect(), {1s, "", {}, {}});
     cr_assert_eq(
         bytes,
@@ -94,7 +94,7 @@
         "Content-Length: 3\r\n\r\nabc");
 }
 
-Test(forward_request, an_unreadable_deadline_counts_as_none)
+Test(forward_request, a_malformed_deadline_is_ignored)
 {
     for (const char* text : {"soon", "-5", "5s", ""})
     {
@@ -103,23 +103,23 @@
     }
 }
 
-Test(forward_request, the_same_request_has_the_same_content)
+Test(forward_request, a_repeated_request_has_the_same_fingerprint)
 {
-    const fingerprint first = parse(usual).content();
-    cr_assert_eq(first, parse(usual).content());
-    std::string other(usual);
+    const fingerprint first = parse(typical_request).content_fingerprint();
+    cr_assert_eq(first, parse(typical_request).content_fingerprint());
+    std::string other(typical_request);
     other.back() = 'd';
-    cr_assert_neq(first, parse(other).content());
-    std::string again(usual);
+    cr_assert_neq(first, parse(other).content_fingerprint());
+    std::string again(typical_request);
     again.replace(again.find("9c41"), 4, "9c42");
     cr_assert_eq(
         first,
-        parse(again).content(),
+        parse(again).content_fingerprint(),
         "the fingerprint depends on the attempt ID");
 }
 
 /// Status 503 promises that the request has not run.
-Test(own_answer, only_what_has_not_run_is_refused)
+Test(local_response, only_a_request_that_did_not_run_gets_503)
 {
     for (const refusal_reason reason :
          {refusal_reason::deadline,
@@ -127,17 +127,17 @@
           refusal_reason::draining,
           refusal_reason::retries_exhausted})
     {
-        cr_assert_eq(make_own_answer(reason, verdict::not_run).status, 503);
+        cr_assert_eq(make_local_response(reason, verdict::not_run).status, 503);
         const unsigned status =
-            make_own_answer(reason, verdict::may_have_run).status;
+            make_local_response(reason, verdict::may_have_run).status;
         cr_assert(status == 502 || status == 504);
     }
 }
 
-Test(own_answer, tells_when_to_come_back)
+Test(local_response, sets_retry_after)
 {
     const std::string bytes = to_bytes(
-        make_own_answer(refusal_reason::deadline, verdict::not_run, 250ms),
+        make_local_response(refusal_reason::deadline, verdict::not_run, 250ms),
         users_platform::make_dialect(),
         "9c41",
         false,
@@ -148,7 +148,7 @@
     cr_assert(bytes.starts_with("HTTP/1.1 503 Service Unavailable\r\n"));
 }
 
-Test(forward_request, counts_the_tokens_that_its_caller_states)
+Test(forward_request, sums_the_tokens_that_the_caller_states)
 {
     const auto tokens_of = [](std::string_view value)
     {
--- a/tests/unit/forward/test_forwarding.cpp
+++ b/tests/unit/forward/test_forwarding.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-constexpr std::string_view sealed =
+constexpr std::string_view ok_response =
     "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nResponse-Seal: 3e1b\r\n"
     "Content-Length: 5\r\n\r\nhello";
 
-constexpr std::string_view not_run =
+constexpr std::string_view not_run_response =
     "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: 9c41\r\n"
     "Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
@@ -24,7 +24,7 @@
     "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Sends the same bytes in response to each request.
-fake_backend::script always(std::string_view bytes)
+fake_backend::script send_always(std::string_view bytes)
 {
     return [bytes](backend_peer& peer)
     {
@@ -34,7 +34,7 @@
 }
 
 /// Sends these bytes in response to one request and closes the connection.
-fake_backend::script once_and_close(std::string bytes)
+fake_backend::script send_once_and_close(std::string bytes)
 {
     return [bytes = std::move(bytes)](backend_peer& peer)
     {
@@ -44,101 +44,104 @@
     };
 }
 
-bool has(std::string_view text, std::string_view part)
+bool contains(std::string_view text, std::string_view part)
 {
     return text.find(part) != std::string_view::npos;
 }
 
 } // namespace
 
-Test(forwarding, passes_an_answer_on_as_it_is)
+Test(forwarding, forwards_a_response_unchanged)
 {
-    fake_backend backend(always(sealed));
+    fake_backend backend(send_always(ok_response));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("GET", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 200 OK\r\n"), "%s", answer.c_str());
-    cr_assert(has(answer, "Response-Seal: 3e1b\r\n"));
-    cr_assert(has(answer, "Content-Length: 5\r\n"));
-    cr_assert(answer.ends_with("\r\n\r\nhello"));
+    const std::string response = test.exchange(test.request("GET", "/once/x"));
+    cr_assert(
+        response.starts_with("HTTP/1.1 200 OK\r\n"), "%s", response.c_str());
+    cr_assert(contains(response, "Response-Seal: 3e1b\r\n"));
+    cr_assert(contains(response, "Content-Length: 5\r\n"));
+    cr_assert(response.ends_with("\r\n\r\nhello"));
 }
 
-Test(forwarding, a_servers_failure_keeps_its_status_and_signature)
+Test(forwarding, a_server_error_keeps_its_status_and_seal)
 {
     fake_backend backend(
-        always("HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: 9c41\r\n"
-               "Response-Seal: 77\r\nContent-Length: 2\r\n\r\nno"));
+        send_always("HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: 9c41\r\n"
+                    "Response-Seal: 77\r\nContent-Length: 2\r\n\r\nno"));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("GET", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 500 "));
-    cr_assert(has(answer, "Response-Seal: 77\r\n"));
+    const std::string response = test.exchange(test.request("GET", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 500 "));
+    cr_assert(contains(response, "Response-Seal: 77\r\n"));
     cr_assert_eq(backend.connections(), 1);
 }
 
-Test(forwarding, a_cut_answer_is_never_given_as_whole)
+Test(forwarding, a_truncated_response_becomes_502)
 {
-    fake_backend backend(once_and_close(
+    fake_backend backend(send_once_and_close(
         "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nResponse-Seal: 3e1b\r\n"
         "Content-Length: 50\r\n\r\nhello"));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 502 "), "%s", answer.c_str());
-    cr_assert_not(has(answer, "Response-Seal"));
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 502 "), "%s", response.c_str());
+    cr_assert_not(contains(response, "Response-Seal"));
     cr_assert_eq(backend.connections(), 1, "retried although it may have run");
 }
 
-Test(forwarding, an_idempotent_request_is_sent_again_after_a_cut_answer)
+Test(forwarding, an_idempotent_request_is_retried_after_a_truncated_response)
 {
-    fake_backend first(once_and_close("HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\n"
-                                      "Content-Length: 50\r\n\r\nhello"));
-    fake_backend second(once_and_close("HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\n"
-                                       "Content-Length: 50\r\n\r\nhello"));
+    fake_backend first(
+        send_once_and_close("HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\n"
+                            "Content-Length: 50\r\n\r\nhello"));
+    fake_backend second(
+        send_once_and_close("HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\n"
+                            "Content-Length: 50\r\n\r\nhello"));
     forward_fixture test({&first, &second});
-    const std::string answer = test.exchange(test.request("GET", "/again/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 502 "), "%s", answer.c_str());
+    const std::string response = test.exchange(test.request("GET", "/again/x"));
+    cr_assert(response.starts_with("HTTP/1.1 502 "), "%s", response.c_str());
     cr_assert_eq(first.connections() + second.connections(), 2);
 }
 
-Test(forwarding, a_refused_request_goes_to_another_server)
+Test(forwarding, a_refused_request_is_retried_on_another_server)
 {
     std::atomic<int> refused{0};
     const auto refuse_first = [&refused](backend_peer& peer)
     {
         while (!peer.read_request().empty())
-            peer.send(refused++ == 0 ? not_run : sealed);
+            peer.send(refused++ == 0 ? not_run_response : ok_response);
     };
     fake_backend first(refuse_first);
     fake_backend second(refuse_first);
     forward_fixture test({&first, &second});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 200 "), "%s", answer.c_str());
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 200 "), "%s", response.c_str());
     cr_assert_eq(first.connections(), 1);
     cr_assert_eq(second.connections(), 1);
 }
 
-Test(forwarding, what_no_server_ran_is_refused_as_not_run)
+Test(forwarding, a_request_that_no_server_ran_gets_503_not_run)
 {
-    fake_backend backend(always(not_run));
+    fake_backend backend(send_always(not_run_response));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 503 "), "%s", answer.c_str());
-    cr_assert(has(answer, "\"verdict\":\"not-run\""));
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 503 "), "%s", response.c_str());
+    cr_assert(contains(response, "\"verdict\":\"not-run\""));
 }
 
 /// Without the report, other requests of this router would try the same server
 /// in vain.
-Test(forwarding, a_server_that_can_not_be_connected_to_is_told_of)
+Test(forwarding, a_failed_connect_is_reported)
 {
-    auto gone = std::make_unique<fake_backend>(always(sealed));
+    auto gone = std::make_unique<fake_backend>(send_always(ok_response));
     forward_fixture test({gone.get()});
     gone.reset();
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 503 "), "%s", answer.c_str());
-    cr_assert(has(answer, "\"verdict\":\"not-run\""));
-    cr_assert_eq(test.unreached().at(0), "i-1");
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 503 "), "%s", response.c_str());
+    cr_assert(contains(response, "\"verdict\":\"not-run\""));
+    cr_assert_eq(test.failed_connects().at(0), "i-1");
 }
 
 /// The connection broke after it was opened, so the server was reachable.
-Test(forwarding, a_broken_connection_is_not_one_that_could_not_be_opened)
+Test(forwarding, a_broken_connection_is_not_reported_as_a_failed_connect)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -147,12 +150,12 @@
             peer.shut_down();
         });
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 50"), "%s", answer.c_str());
-    cr_assert(test.unreached().empty());
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 50"), "%s", response.c_str());
+    cr_assert(test.failed_connects().empty());
 }
 
-Test(forwarding, an_answer_to_another_request_is_dropped)
+Test(forwarding, a_response_to_another_request_is_dropped)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -161,66 +164,66 @@
             {
                 peer.send("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\n"
                           "Content-Length: 5\r\n\r\nwrong");
-                peer.send(sealed);
+                peer.send(ok_response);
             }
         });
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("GET", "/once/x"));
-    cr_assert(answer.ends_with("\r\n\r\nhello"), "%s", answer.c_str());
+    const std::string response = test.exchange(test.request("GET", "/once/x"));
+    cr_assert(response.ends_with("\r\n\r\nhello"), "%s", response.c_str());
 }
 
-Test(forwarding, bytes_after_an_answer_belong_to_no_request)
+Test(forwarding, a_connection_with_excess_bytes_is_not_reused)
 {
     fake_backend backend(
         [](backend_peer& peer)
         {
             while (!peer.read_request().empty())
                 peer.send(
-                    std::string(sealed) + "HTTP/1.1 200 OK\r\nAttempt-Id: "
-                                          "9c41\r\nContent-Length: 5"
-                                          "\r\n\r\nwrong");
+                    std::string(ok_response) + "HTTP/1.1 200 OK\r\nAttempt-Id: "
+                                               "9c41\r\nContent-Length: 5"
+                                               "\r\n\r\nwrong");
         });
     forward_fixture test({&backend});
     for (int i = 0; i < 3; ++i)
     {
-        const std::string answer =
+        const std::string response =
             test.exchange(test.request("GET", "/again/x"));
-        cr_assert(answer.ends_with("\r\n\r\nhello"), "%s", answer.c_str());
+        cr_assert(response.ends_with("\r\n\r\nhello"), "%s", response.c_str());
     }
     cr_assert_eq(
         backend.connections(), 3, "a connection with excess bytes was reused");
 }
 
-Test(forwarding, an_encoded_answer_is_not_the_servers)
+Test(forwarding, a_content_encoded_response_is_rejected)
 {
-    fake_backend backend(always(
+    fake_backend backend(send_always(
         "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nContent-Encoding: gzip\r\n"
         "Content-Length: 5\r\n\r\nhello"));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 502 "), "%s", answer.c_str());
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 502 "), "%s", response.c_str());
 }
 
-Test(forwarding, bytes_that_are_no_answer_are_never_passed_on)
+Test(forwarding, an_invalid_response_is_not_forwarded)
 {
-    fake_backend backend(once_and_close("garbage\r\n\r\n"));
+    fake_backend backend(send_once_and_close("garbage\r\n\r\n"));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.starts_with("HTTP/1.1 502 "), "%s", answer.c_str());
-    cr_assert_not(has(answer, "garbage"));
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.starts_with("HTTP/1.1 502 "), "%s", response.c_str());
+    cr_assert_not(contains(response, "garbage"));
 }
 
-Test(forwarding, an_answer_that_its_connection_ends_is_whole)
+Test(forwarding, a_response_that_ends_with_its_connection_is_complete)
 {
-    fake_backend backend(once_and_close(
+    fake_backend backend(send_once_and_close(
         "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nResponse-Seal: 3e1b\r\n\r\n"
         "hello"));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/once/x"));
-    cr_assert(answer.ends_with("\r\n\r\nhello"), "%s", answer.c_str());
+    const std::string response = test.exchange(test.request("POST", "/once/x"));
+    cr_assert(response.ends_with("\r\n\r\nhello"), "%s", response.c_str());
 }
 
-Test(forwarding, a_stream_is_passed_on_to_its_end)
+Test(forwarding, a_stream_is_forwarded_to_its_end)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -235,14 +238,14 @@
     forward_fixture test({&backend});
     for (const char* path : {"/stream/x", "/resume/x"})
     {
-        const std::string answer = test.exchange(test.request("POST", path));
-        cr_assert(has(answer, "data: a\n\n"), "%s", answer.c_str());
-        cr_assert(has(answer, "data: b\n\n"));
-        cr_assert(answer.ends_with("0\r\n\r\n"));
+        const std::string response = test.exchange(test.request("POST", path));
+        cr_assert(contains(response, "data: a\n\n"), "%s", response.c_str());
+        cr_assert(contains(response, "data: b\n\n"));
+        cr_assert(response.ends_with("0\r\n\r\n"));
     }
 }
 
-Test(forwarding, a_cut_stream_does_not_look_whole)
+Test(forwarding, a_truncated_stream_has_no_last_chunk)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -254,13 +257,14 @@
             peer.shut_down();
         });
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("POST", "/stream/x"));
-    cr_assert(has(answer, "data: a\n\n"), "%s", answer.c_str());
-    cr_assert_not(answer.ends_with("0\r\n\r\n"));
+    const std::string response =
+        test.exchange(test.request("POST", "/stream/x"));
+    cr_assert(contains(response, "data: a\n\n"), "%s", response.c_str());
+    cr_assert_not(response.ends_with("0\r\n\r\n"));
     cr_assert_eq(backend.connections(), 1);
 }
 
-Test(forwarding, a_resumable_stream_goes_on_after_its_last_whole_event)
+Test(forwarding, a_resumable_stream_continues_after_its_last_complete_event)
 {
     std::atomic<int> runs{0};
     std::promise<std::string> second_request;
@@ -283,16 +287,18 @@
     fake_backend first(run);
     fake_backend second(run);
     forward_fixture test({&first, &second});
-    const std::string answer = test.exchange(test.request("POST", "/resume/x"));
-    cr_assert(answer.ends_with("0\r\n\r\n"), "%s", answer.c_str());
-    cr_assert(has(answer, "id: 1\ndata: a\n\n"));
-    cr_assert(has(answer, "id: 2\ndata: b\n\n"));
-    cr_assert_eq(answer.find("id: 2"), answer.rfind("id: 2"));
-    cr_assert_eq(answer.find("HTTP/1.1"), answer.rfind("HTTP/1.1"));
-    cr_assert(has(second_request.get_future().get(), "Last-Event-Id: 1\r\n"));
+    const std::string response =
+        test.exchange(test.request("POST", "/resume/x"));
+    cr_assert(response.ends_with("0\r\n\r\n"), "%s", response.c_str());
+    cr_assert(contains(response, "id: 1\ndata: a\n\n"));
+    cr_assert(contains(response, "id: 2\ndata: b\n\n"));
+    cr_assert_eq(response.find("id: 2"), response.rfind("id: 2"));
+    cr_assert_eq(response.find("HTTP/1.1"), response.rfind("HTTP/1.1"));
+    cr_assert(
+        contains(second_request.get_future().get(), "Last-Event-Id: 1\r\n"));
 }
 
-Test(forwarding, a_caller_that_leaves_ends_the_run)
+Test(forwarding, a_disconnected_caller_closes_the_server_connection)
 {
     std::promise<void> closed;
     fake_backend backend(
@@ -306,56 +312,60 @@
             closed.set_value();
         });
     forward_fixture test({&backend});
-    test.leave(test.request("POST", "/stream/x"));
+    test.disconnect_during_response(test.request("POST", "/stream/x"));
     closed.get_future().wait();
 }
 
-Test(forwarding, two_lengths_are_refused_and_reach_nobody)
+Test(forwarding, ambiguous_framing_gets_400_and_is_not_forwarded)
 {
-    fake_backend backend(always(sealed));
+    fake_backend backend(send_always(ok_response));
     forward_fixture test({&backend});
     for (const char* framing :
          {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
           "Content-Length: 3\r\nContent-Length: 4\r\n",
           "Transfer-Encoding: chunked, chunked\r\n"})
     {
-        const std::string answer = test.exchange(
+        const std::string response = test.exchange(
             std::string("POST /once/x HTTP/1.1\r\nHost: h.example\r\n") +
             framing + "\r\nabc");
-        cr_assert(answer.starts_with("HTTP/1.1 400 "), "%s", answer.c_str());
+        cr_assert(
+            response.starts_with("HTTP/1.1 400 "), "%s", response.c_str());
     }
     cr_assert_eq(backend.connections(), 0);
 }
 
-Test(forwarding, what_has_no_route_is_not_found)
+Test(forwarding, an_unknown_route_gets_404)
 {
-    fake_backend backend(always(sealed));
+    fake_backend backend(send_always(ok_response));
     forward_fixture test({&backend});
-    const std::string answer = test.exchange(test.request("GET", "/nowhere/"));
-    cr_assert(answer.starts_with("HTTP/1.1 404 "), "%s", answer.c_str());
+    const std::string response =
+        test.exchange(test.request("GET", "/nowhere/"));
+    cr_assert(response.starts_with("HTTP/1.1 404 "), "%s", response.c_str());
 }
 
 /// Guards against a 404 for routes of a newer configuration, from a router that
 /// knew it was outdated. Callers do not retry after a 404.
-Test(forwarding, what_a_newer_configuration_may_have_is_not_called_unknown)
+Test(forwarding, an_unknown_route_gets_503_while_the_configuration_is_outdated)
 {
-    fake_backend backend(always(sealed));
+    fake_backend backend(send_always(ok_response));
     forward_fixture test({&backend});
-    test.is_behind = true;
-    const std::string answer = test.exchange(test.request("GET", "/nowhere/"));
-    cr_assert(answer.starts_with("HTTP/1.1 503 "), "%s", answer.c_str());
-    cr_assert(answer.find("Retry-After: 0.5") != std::string::npos);
-    cr_assert(answer.find("outdated") != std::string::npos);
+    test.is_outdated = true;
+    const std::string response =
+        test.exchange(test.request("GET", "/nowhere/"));
+    cr_assert(response.starts_with("HTTP/1.1 503 "), "%s", response.c_str());
+    cr_assert(response.find("Retry-After: 0.5") != std::string::npos);
+    cr_assert(response.find("outdated") != std::string::npos);
     const std::string known = test.exchange(test.request("GET", "/again/"));
     cr_assert(known.starts_with("HTTP/1.1 200 "), "%s", known.c_str());
 }
 
-Test(forwarding, before_a_configuration_everything_may_come_back)
+Test(forwarding, before_the_first_configuration_requests_get_retry_after)
 {
-    fake_backend backend(always(sealed));
+    fake_backend backend(send_always(ok_response));
     forward_fixture test({&backend});
-    test.without_table();
-    const std::string answer = test.exchange(test.request("GET", "/nowhere/"));
-    cr_assert(answer.starts_with("HTTP/1.1 503 "), "%s", answer.c_str());
-    cr_assert(has(answer, "Retry-After: "));
+    test.clear_table();
+    const std::string response =
+        test.exchange(test.request("GET", "/nowhere/"));
+    cr_assert(response.starts_with("HTTP/1.1 503 "), "%s", response.c_str());
+    cr_assert(contains(response, "Retry-After: "));
 }
--- a/tests/unit/forward/test_organisations.cpp
+++ b/tests/unit/forward/test_organisations.cpp
@@ -13,28 +13,28 @@
 namespace
 {
 
-constexpr std::string_view sealed =
+constexpr std::string_view ok_response =
     "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nResponse-Seal: 3e1b\r\n"
     "Content-Length: 5\r\n\r\nhello";
 
-constexpr std::string_view not_run =
+constexpr std::string_view not_run_response =
     "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: 9c41\r\n"
     "Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
 constexpr std::string_view first_key = "Authorization: Bearer key-one\r\n";
 constexpr std::string_view second_key = "authorization: bearer key-two\r\n";
 
-bool has(std::string_view text, std::string_view part)
+bool contains(std::string_view text, std::string_view part)
 {
     return text.find(part) != std::string_view::npos;
 }
 
 /// Sends the same response to all requests and records the last request.
-struct keeping_backend
+struct recording_backend
 {
-    explicit keeping_backend(std::string_view answer)
+    explicit recording_backend(std::string_view response)
         : server(
-              [this, answer](backend_peer& peer)
+              [this, response](backend_peer& peer)
               {
                   for (std::string head = peer.read_request(); !head.empty();
                        head = peer.read_request())
@@ -44,7 +44,7 @@
                           this->last = head;
                           ++this->count;
                       }
-                      peer.send(answer);
+                      peer.send(response);
                   }
               })
     {
@@ -70,26 +70,26 @@
 
 } // namespace
 
-Test(organisations, the_holder_is_named_and_the_key_stays_here)
+Test(organisations, the_key_is_replaced_by_its_holders_name)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    const std::string answer = test.exchange(test.request(
+    test.use_organisations();
+    const std::string response = test.exchange(test.request(
         "GET", "/once/x", std::string(first_key) + "Tenant: somebody\r\n"));
-    cr_assert(answer.starts_with("HTTP/1.1 200 "), "%s", answer.c_str());
+    cr_assert(response.starts_with("HTTP/1.1 200 "), "%s", response.c_str());
     const std::string sent = backend.last_request();
-    cr_assert(has(sent, "Tenant: o1\r\n"), "%s", sent.c_str());
-    cr_assert_not(has(sent, "somebody"));
-    cr_assert_not(has(sent, "key-one"));
-    cr_assert_not(has(sent, "uthorization"));
+    cr_assert(contains(sent, "Tenant: o1\r\n"), "%s", sent.c_str());
+    cr_assert_not(contains(sent, "somebody"));
+    cr_assert_not(contains(sent, "key-one"));
+    cr_assert_not(contains(sent, "uthorization"));
 }
 
-Test(organisations, an_unknown_or_absent_key_is_turned_away_and_not_sent)
+Test(organisations, an_unknown_or_missing_key_gets_401_and_is_not_forwarded)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
+    test.use_organisations();
     for (const std::string_view headers :
          {"",
           "Authorization: Bearer other\r\n",
@@ -97,150 +97,152 @@
           "Authorization: Basic key-one\r\n",
           "Authorization: Bearer key-one\r\nAuthorization: Bearer key-two\r\n"})
     {
-        const std::string answer =
+        const std::string response =
             test.exchange(test.request("GET", "/once/x", headers));
-        cr_assert(answer.starts_with("HTTP/1.1 401 "), "%s", answer.c_str());
-        cr_assert(has(answer, "WWW-Authenticate: Bearer\r\n"));
-        cr_assert(has(answer, "not-run"));
+        cr_assert(
+            response.starts_with("HTTP/1.1 401 "), "%s", response.c_str());
+        cr_assert(contains(response, "WWW-Authenticate: Bearer\r\n"));
+        cr_assert(contains(response, "not-run"));
     }
     cr_assert_eq(backend.requests(), 0);
 }
 
-Test(organisations, a_keyless_route_serves_everybody)
+Test(organisations, a_keyless_route_serves_callers_with_and_without_a_key)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    const std::string answer = test.exchange(
+    test.use_organisations();
+    const std::string response = test.exchange(
         test.request("GET", "/open/x", "Tenant: o1\r\nX-Own: 1\r\n"));
-    cr_assert(answer.starts_with("HTTP/1.1 200 "), "%s", answer.c_str());
-    cr_assert_not(has(backend.last_request(), "Tenant"));
-    cr_assert(has(backend.last_request(), "X-Own: 1\r\n"));
+    cr_assert(response.starts_with("HTTP/1.1 200 "), "%s", response.c_str());
+    cr_assert_not(contains(backend.last_request(), "Tenant"));
+    cr_assert(contains(backend.last_request(), "X-Own: 1\r\n"));
     test.exchange(test.request("GET", "/open/x", second_key));
-    cr_assert(has(backend.last_request(), "Tenant: o2\r\n"));
-    cr_assert_not(has(backend.last_request(), "key-two"));
+    cr_assert(contains(backend.last_request(), "Tenant: o2\r\n"));
+    cr_assert_not(contains(backend.last_request(), "key-two"));
 }
 
-Test(organisations, without_organisations_credentials_are_the_services)
+Test(organisations, without_organisations_credentials_are_forwarded)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
     test.exchange(test.request("GET", "/once/x", first_key));
-    cr_assert(has(backend.last_request(), std::string(first_key)));
+    cr_assert(contains(backend.last_request(), std::string(first_key)));
 }
 
-Test(organisations, before_a_configuration_nobody_is_told_of_keys)
+Test(organisations, before_the_first_configuration_an_unknown_key_gets_503)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.without_table();
-    const std::string answer = test.exchange(
+    test.clear_table();
+    const std::string response = test.exchange(
         test.request("GET", "/once/x", "Authorization: Bearer other\r\n"));
-    cr_assert(answer.starts_with("HTTP/1.1 503 "), "%s", answer.c_str());
+    cr_assert(response.starts_with("HTTP/1.1 503 "), "%s", response.c_str());
 }
 
-Test(organisations, a_dropped_key_counts_no_more_on_a_kept_connection)
+Test(organisations, a_revoked_key_gets_401)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
+    test.use_organisations();
     test.exchange(test.request("GET", "/once/x", first_key));
-    test.drop_first_key();
-    const std::string answer =
+    test.revoke_first_key();
+    const std::string response =
         test.exchange(test.request("GET", "/once/x", first_key));
-    cr_assert(answer.starts_with("HTTP/1.1 401 "), "%s", answer.c_str());
+    cr_assert(response.starts_with("HTTP/1.1 401 "), "%s", response.c_str());
     cr_assert_eq(backend.requests(), 1);
 }
 
-Test(organisations, a_key_dropped_while_its_request_waits_is_not_served)
+Test(organisations, a_key_revoked_while_its_request_waits_gets_401)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    test.limits.next = {0, true, 300ms, {}};
-    auto answer = std::async(
+    test.use_organisations();
+    test.limits.decision = {0, true, 300ms, {}};
+    auto response = std::async(
         std::launch::async,
         [&]
         {
             return test.exchange(test.request("GET", "/once/x", first_key));
         });
-    const auto has_asked = [&]
+    const auto quota_requested = [&]
     {
         const std::lock_guard lock(test.limits.mutex);
-        return !test.limits.asked.empty();
+        return !test.limits.recorded_requests.empty();
     };
-    while (!has_asked())
+    while (!quota_requested())
         std::this_thread::sleep_for(1ms);
-    test.drop_first_key();
-    const std::string text = answer.get();
+    test.revoke_first_key();
+    const std::string text = response.get();
     cr_assert(text.starts_with("HTTP/1.1 401 "), "%s", text.c_str());
     cr_assert_eq(backend.requests(), 0);
-    cr_assert_eq(test.limits.returned, 200);
+    cr_assert_eq(test.limits.returned_amount, 200);
 }
 
-Test(organisations, a_limit_that_is_reached_refuses_with_a_time)
+Test(organisations, an_exceeded_limit_gets_429_with_retry_after)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    test.limits.next = {0, false, {}, 750ms};
-    const std::string answer = test.exchange(test.request(
+    test.use_organisations();
+    test.limits.decision = {0, false, {}, 750ms};
+    const std::string response = test.exchange(test.request(
         "GET", "/once/x", std::string(first_key) + "Token-Usage: 1460,80\r\n"));
-    cr_assert(answer.starts_with("HTTP/1.1 429 "), "%s", answer.c_str());
-    cr_assert(has(answer, "Retry-After: 0.750\r\n"));
-    cr_assert(has(answer, "not-run"));
-    cr_assert_eq(test.limits.asked.at(0).amount, 1540);
-    cr_assert_eq(test.limits.returned, 0);
+    cr_assert(response.starts_with("HTTP/1.1 429 "), "%s", response.c_str());
+    cr_assert(contains(response, "Retry-After: 0.750\r\n"));
+    cr_assert(contains(response, "not-run"));
+    cr_assert_eq(test.limits.recorded_requests.at(0).amount, 1540);
+    cr_assert_eq(test.limits.returned_amount, 0);
     cr_assert_eq(backend.requests(), 0);
 }
 
-Test(organisations, one_without_a_limit_is_not_counted)
+Test(organisations, an_organisation_without_a_limit_needs_no_quota)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    test.limits.next = {0, false, {}, 750ms};
-    const std::string answer =
+    test.use_organisations();
+    test.limits.decision = {0, false, {}, 750ms};
+    const std::string response =
         test.exchange(test.request("GET", "/once/x", second_key));
-    cr_assert(answer.starts_with("HTTP/1.1 200 "));
-    cr_assert(test.limits.asked.empty());
+    cr_assert(response.starts_with("HTTP/1.1 200 "));
+    cr_assert(test.limits.recorded_requests.empty());
 }
 
-Test(organisations, tokens_of_what_did_not_run_are_given_back)
+Test(organisations, quota_of_a_request_that_did_not_run_is_returned)
 {
-    keeping_backend backend(not_run);
+    recording_backend backend(not_run_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    const std::string answer =
+    test.use_organisations();
+    const std::string response =
         test.exchange(test.request("POST", "/once/x", first_key));
-    cr_assert(answer.starts_with("HTTP/1.1 503 "), "%s", answer.c_str());
-    cr_assert_eq(test.limits.asked.at(0).amount, 200);
-    cr_assert_eq(test.limits.returned, 200);
+    cr_assert(response.starts_with("HTTP/1.1 503 "), "%s", response.c_str());
+    cr_assert_eq(test.limits.recorded_requests.at(0).amount, 200);
+    cr_assert_eq(test.limits.returned_amount, 200);
 }
 
-Test(organisations, tokens_of_what_ran_are_used)
+Test(organisations, quota_of_a_request_that_ran_is_not_returned)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
+    test.use_organisations();
     test.exchange(test.request("POST", "/once/x", first_key));
-    cr_assert_eq(test.limits.returned, 0);
+    cr_assert_eq(test.limits.returned_amount, 0);
 }
 
-Test(organisations, a_caller_that_leaves_while_it_waits_gives_its_tokens_back)
+Test(organisations, quota_is_returned_if_the_caller_leaves_while_waiting)
 {
-    keeping_backend backend(sealed);
+    recording_backend backend(ok_response);
     forward_fixture test({&backend.server});
-    test.with_organisations();
-    test.limits.next = {0, true, 60s, {}};
-    test.depart(test.request("GET", "/once/x", first_key));
-    const auto returned = [&]
+    test.use_organisations();
+    test.limits.decision = {0, true, 60s, {}};
+    test.disconnect_during_quota_wait(
+        test.request("GET", "/once/x", first_key));
+    const auto returned_tokens = [&]
     {
         const std::lock_guard lock(test.limits.mutex);
-        return test.limits.returned;
+        return test.limits.returned_amount;
     };
-    while (returned() == 0)
+    while (returned_tokens() == 0)
         std::this_thread::sleep_for(1ms);
-    cr_assert_eq(returned(), 200);
+    cr_assert_eq(returned_tokens(), 200);
     cr_assert_eq(backend.requests(), 0);
 }
--- /dev/null
+++ b/tests/unit/forward/test_sse_event_splitter.cpp
@@ -0,0 +1,43 @@
+#include "adapters/forward/sse_event_splitter.hpp"
+
+#include <criterion/criterion.h>
+
+using roseworks::forward::sse_event_splitter;
+
+Test(sse_event_splitter, forwards_complete_events_unchanged)
+{
+    sse_event_splitter splitter(1000);
+    cr_assert_eq(splitter.feed("id: 1\nda"), "");
+    cr_assert_eq(splitter.feed("ta: x\n\nid: 2\r\n"), "id: 1\ndata: x\n\n");
+    cr_assert_eq(splitter.last_id(), "1");
+    cr_assert_eq(splitter.feed("data: y\r\n\r\n"), "id: 2\r\ndata: y\r\n\r\n");
+    cr_assert_eq(splitter.last_id(), "2");
+    cr_assert_eq(splitter.event_count(), 2);
+}
+
+Test(sse_event_splitter, an_incomplete_event_does_not_change_the_last_id)
+{
+    sse_event_splitter splitter(1000);
+    splitter.feed("id: 1\ndata: x\n\nid: 2\ndata: y\n");
+    cr_assert_eq(splitter.last_id(), "1");
+    splitter.discard_incomplete();
+    cr_assert_eq(splitter.feed("id: 2\ndata: y\n\n"), "id: 2\ndata: y\n\n");
+    cr_assert_eq(splitter.last_id(), "2");
+}
+
+Test(sse_event_splitter, take_remainder_returns_the_incomplete_event)
+{
+    sse_event_splitter splitter(1000);
+    splitter.feed("data: x\n\ntail");
+    cr_assert_eq(splitter.take_remainder(), "tail");
+    cr_assert_eq(splitter.take_remainder(), "");
+}
+
+Test(sse_event_splitter, detects_an_event_over_the_limit)
+{
+    sse_event_splitter splitter(8);
+    splitter.feed("data: xx");
+    cr_assert_not(splitter.exceeds_limit());
+    splitter.feed("x");
+    cr_assert(splitter.exceeds_limit());
+}
