--- a/src/adapters/forward/forward_call.hpp
+++ b/src/adapters/forward/forward_call.hpp
@@ -68,15 +68,20 @@
     /// @return Whether the request may be sent. If not, the call is finished.
     asio::awaitable<bool> reserve_quota();
     asio::awaitable<void> run_attempts();
+    /// Sends the request to the granted server once.
+    /// @return Whether the call is finished.
     asio::awaitable<bool> attempt(grant granted);
+    /// Withdraws from the retry budget unless this is the first attempt.
+    /// @return Whether the request may be sent.
     bool withdraw_retry();
     /// @return Whether the caller's API key was revoked while the request
     ///         waited for its first attempt.
     bool is_key_revoked(const serving_table& table) const;
     /// Reports that an engine refused the request because the model was not
-    /// loaded, and waits shortly for the serving table to be updated.
+    /// loaded, and waits briefly for the serving table to be updated.
     asio::awaitable<void> wait_for_table_update(
         const std::string& servable, const std::string& instance);
+    /// @return The priority that engines are told, from 0 to 9.
     unsigned engine_priority() const;
     std::string
     serialize_request(const server_identity& server, instant now) const;
@@ -113,10 +118,9 @@
     std::shared_ptr<edge::call_inbox> inbox;
     ticket admission_ticket;
     sse_event_splitter events;
-    std::uint32_t attempts = 0; ///< that may have run the request
-    std::uint32_t sends =
-        0; ///< attempts that sent data, including refused ones
-    std::string last_server;     ///< instance ID, of the last attempt
+    std::uint32_t attempts = 0;  ///< that may have run the request
+    std::uint32_t sends = 0;     ///< that sent data, including refused ones
+    std::string last_server;     ///< instance ID; of the last attempt
     std::string last_rate_limit; ///< in the last response; empty: none
     bool quota_reserved = false; ///< from the organisation's limit
     bool may_have_run = false;
--- a/src/adapters/forward/forward_context.hpp
+++ b/src/adapters/forward/forward_context.hpp
@@ -55,8 +55,8 @@
     dispatch_port& dispatch;
     quota_port& quotas;
     std::function<serving_table_ptr()> table; ///< newest; null: none yet
-    std::function<std::size_t()>
-        live_routers; ///< live ones, including this one
+    /// Number of live routers, including this one.
+    std::function<std::size_t()> live_routers;
     /// An engine reported its load in a response.
     std::function<void(const load_report&)> load_reported;
     /// An attempt of a request for a servable on an engine begins or has ended.
@@ -74,9 +74,9 @@
     std::function<void(const std::string& server, fingerprint)>
         connection_broken;
     /// A server responded.
-    /// @param named Requests per second that the server accepts from all
-    ///              routers together; empty if it named no limit.
-    /// @param sent  When the request was sent.
+    /// @param requests_per_second Rate that the server accepts from all routers
+    ///                            together; empty if it named no limit.
+    /// @param sent                When the request was sent.
     std::function<void(
         const std::string& server,
         std::optional<double> requests_per_second,
--- a/src/adapters/forward/forward_request.cpp
+++ b/src/adapters/forward/forward_request.cpp
@@ -96,8 +96,7 @@
 }
 
 /// @return The key of `Authorization: Bearer KEY`. Empty if there is none, or
-/// if
-///         several `Authorization` headers make it ambiguous.
+///         if several `Authorization` headers make it ambiguous.
 std::string parse_bearer_key(const http::fields& fields)
 {
     constexpr beast::string_view scheme = "Bearer ";
--- a/src/adapters/forward/forward_request.hpp
+++ b/src/adapters/forward/forward_request.hpp
@@ -31,8 +31,8 @@
     std::string key;                     ///< API key; empty: none, or ambiguous
     std::optional<std::uint64_t> tokens; ///< sum for prompt and response
     std::string body;
-    std::optional<std::chrono::milliseconds>
-        deadline; ///< remaining time, from the caller
+    /// Remaining time that the caller stated; empty: none.
+    std::optional<std::chrono::milliseconds> deadline;
     unsigned version = 11;
     bool keep_alive = true;
     bool head_only = false; ///< a HEAD request
--- a/src/adapters/forward/forward_server.hpp
+++ b/src/adapters/forward/forward_server.hpp
@@ -18,7 +18,7 @@
 /** Accepts callers' connections on one event loop and serves them there.
 
     All functions must be called on that loop. Has to outlive the last run of
-   the loop.
+    the loop.
 */
 class forward_server
 {
--- a/src/adapters/forward/forward_session.cpp
+++ b/src/adapters/forward/forward_session.cpp
@@ -170,7 +170,7 @@
         co_return reusable;
     }
     std::string service(choose_service(*route, this->context.random()));
-    const bool engines = table->has_engines(service);
+    const bool is_engine_service = table->has_engines(service);
     forward_call call(
         this->context,
         this->pool,
@@ -179,7 +179,7 @@
         *route,
         std::move(holder),
         std::move(service),
-        engines);
+        is_engine_service);
     this->active_call = &call;
     const bool reusable = co_await call.run();
     this->active_call = nullptr;
--- a/src/adapters/forward/server_exchange.cpp
+++ b/src/adapters/forward/server_exchange.cpp
@@ -14,9 +14,9 @@
 
 constexpr unsigned first_final_status = 200;
 
-/// Limit on heads read for one request. Interim responses and responses to
-/// other requests are skipped.
-constexpr int max_skipped_heads = 4;
+/// Maximum number of response heads read for one request. Interim responses and
+/// responses to other requests are skipped.
+constexpr int max_heads_read = 4;
 
 std::string_view to_string_view(beast::string_view text)
 {
@@ -105,7 +105,7 @@
 asio::awaitable<exchange_state> server_exchange::read_head(
     const header_dialect& names, std::string_view id, bool head_only)
 {
-    for (int skipped = 0; skipped < max_skipped_heads; ++skipped)
+    for (int heads_read = 0; heads_read < max_heads_read; ++heads_read)
     {
         const exchange_state state = co_await this->read_one_head(head_only);
         if (state != exchange_state::ok)
--- a/src/adapters/forward/server_exchange.hpp
+++ b/src/adapters/forward/server_exchange.hpp
@@ -66,7 +66,7 @@
     asio::awaitable<exchange_state>
     read_head(const header_dialect& names, std::string_view id, bool head_only);
 
-    /// Reads a part of the body. An empty part with `good` means that the body
+    /// Reads a part of the body. An empty part with `ok` means that the body
     /// has ended.
     asio::awaitable<exchange_state> read_some(std::string_view& piece);
 
--- a/tests/unit/forward/forward_fixture.hpp
+++ b/tests/unit/forward/forward_fixture.hpp
@@ -38,7 +38,7 @@
 };
 
 /** Forwards over real sockets and the real dispatcher to fake backend servers
-   of one service without engines.
+    of one service without engines.
 
     Routes: `/once/` (not repeatable), `/again/` (idempotent, two attempts),
     `/stream/` and `/resume/` (streams, the latter resumable) and `/open/`
@@ -81,9 +81,8 @@
     };
 
     /// @return One report for each response of a server, in order. A server
-    /// that
-    ///         named a limit gets no more requests, because each permit is
-    ///         refused.
+    ///         that named a limit gets no more requests, because each permit
+    ///         is refused.
     std::vector<rate_limit_report> reported_rate_limits();
 
     /// Sends bytes on a new connection.
