--- a/src/adapters/forward/forward_context.hpp
+++ b/src/adapters/forward/forward_context.hpp
@@ -2,7 +2,7 @@
 
 #include "adapters/edge/backend_context.hpp"
 #include "adapters/forward/forward_metrics.hpp"
-#include "adapters/forward/header_dialect.hpp"
+#include "adapters/forward/header_names.hpp"
 #include "core/request/shared_retry_budget.hpp"
 #include "core/serving/serving_table.hpp"
 #include "ports/dispatch_port.hpp"
@@ -93,7 +93,7 @@
     forward_context(
         const edge::backend_context& base_context,
         forward_options chosen_options,
-        header_dialect used_headers,
+        header_names used_headers,
         forward_dependencies ports_used,
         forward_metrics& shared_metrics)
         : edge::backend_context(base_context)
@@ -113,7 +113,7 @@
     }
 
     const forward_options settings;
-    const header_dialect names;
+    const header_names names;
     const forward_dependencies ports;
     forward_metrics& metrics;
     std::mt19937_64 random;
--- a/src/adapters/forward/forward_request.cpp
+++ b/src/adapters/forward/forward_request.cpp
@@ -48,7 +48,7 @@
     return listed.exists(name);
 }
 
-bool is_reserved(const header_dialect& names, beast::string_view name)
+bool is_reserved(const header_names& names, beast::string_view name)
 {
     if (beast::iequals(name, names.deadline) ||
         beast::iequals(name, names.last_event))
@@ -75,7 +75,7 @@
 void sort_header_lines(
     forward_request& result,
     const http::fields& fields,
-    const header_dialect& names)
+    const header_names& names)
 {
     for (const auto& field : fields)
     {
@@ -154,7 +154,7 @@
 }
 
 forward_request make_forward_request(
-    edge::caller_parser& parser, const header_dialect& names, instant now)
+    edge::caller_parser& parser, const header_names& names, instant now)
 {
     auto& message = parser.get();
     forward_request result;
@@ -181,7 +181,7 @@
 
 std::string serialize_backend_request(
     const forward_request& request,
-    const header_dialect& names,
+    const header_names& names,
     const attempt_headers& attempt)
 {
     std::string bytes;
--- a/src/adapters/forward/forward_request.hpp
+++ b/src/adapters/forward/forward_request.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/edge/caller_connection.hpp"
-#include "adapters/forward/header_dialect.hpp"
+#include "adapters/forward/header_names.hpp"
 
 #include <roseworks/ids.hpp>
 #include <roseworks/instant.hpp>
@@ -33,7 +33,7 @@
     std::string body;
     /// Remaining time that the caller stated; empty: none.
     std::optional<std::chrono::milliseconds> deadline;
-    unsigned version = 11;
+    unsigned version = 11; ///< of HTTP, times ten
     bool keep_alive = true;
     bool head_only = false; ///< a HEAD request
     instant arrived;
@@ -46,7 +46,7 @@
 /// Converts a parsed request. Leaves out hop-by-hop headers and headers that
 /// only the router may set.
 forward_request make_forward_request(
-    edge::caller_parser& parser, const header_dialect& names, instant now);
+    edge::caller_parser& parser, const header_names& names, instant now);
 
 /// Headers that are set for one attempt on a backend server.
 struct attempt_headers
@@ -62,7 +62,7 @@
 /// @return The request as sent to a backend server, including the body.
 std::string serialize_backend_request(
     const forward_request& request,
-    const header_dialect& names,
+    const header_names& names,
     const attempt_headers& attempt);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/forward_server.cpp
+++ b/src/adapters/forward/forward_server.cpp
@@ -53,7 +53,7 @@
     return error;
 }
 
-void forward_server::bound_callers(const caller_bounds& bounds)
+void forward_server::set_caller_limits(const caller_bounds& bounds)
 {
     this->limits.max_header_bytes = bounds.max_header_bytes;
     this->limits.max_body_bytes = bounds.max_body_bytes;
--- a/src/adapters/forward/forward_server.hpp
+++ b/src/adapters/forward/forward_server.hpp
@@ -33,7 +33,7 @@
     beast::error_code listen(const edge::tcp::endpoint& endpoint);
 
     /// Sets size and time limits for callers on new connections.
-    void bound_callers(const caller_bounds& bounds);
+    void set_caller_limits(const caller_bounds& bounds);
 
     /// From now on, closes each connection after its next response.
     void start_drain();
--- a/src/adapters/forward/header_dialect.hpp
+++ b/src/adapters/forward/header_names.hpp
@@ -8,7 +8,7 @@
 
 /// Names of the headers that forwarding reads or sets, as callers and backend
 /// servers use them.
-struct header_dialect
+struct header_names
 {
     std::string request_id;      ///< echoed by servers and in local responses
     std::string deadline;        ///< remaining time in milliseconds
--- a/src/adapters/forward/local_response.cpp
+++ b/src/adapters/forward/local_response.cpp
@@ -58,7 +58,7 @@
 
 std::string to_bytes(
     const local_response& response,
-    const header_dialect& names,
+    const header_names& names,
     std::string_view id,
     bool keep_alive,
     bool head_only)
--- a/src/adapters/forward/local_response.hpp
+++ b/src/adapters/forward/local_response.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/forward/header_dialect.hpp"
+#include "adapters/forward/header_names.hpp"
 
 #include <roseworks/instant.hpp>
 #include <roseworks/verdict.hpp>
@@ -30,7 +30,7 @@
 /// @return   The serialised response.
 std::string to_bytes(
     const local_response& response,
-    const header_dialect& names,
+    const header_names& names,
     std::string_view id,
     bool keep_alive,
     bool head_only);
--- a/src/adapters/forward/probe_server.cpp
+++ b/src/adapters/forward/probe_server.cpp
@@ -19,7 +19,7 @@
 /// Requests of probes are small. Larger ones are rejected.
 constexpr std::size_t max_probe_header_bytes = 4096;
 
-std::string to_bytes(const probe_answer& response)
+std::string to_bytes(const probe_response& response)
 {
     const auto phrase =
         http::obsolete_reason(static_cast<http::status>(response.status));
@@ -75,7 +75,7 @@
         if (read.result != edge::caller_read::status::done)
             co_return;
         const auto target = parser.get().target();
-        const probe_answer response =
+        const probe_response response =
             this->handle(std::string_view(target.data(), target.size()));
         reusable = co_await connection.write_raw(to_bytes(response));
         reusable = reusable && parser.get().keep_alive();
--- a/src/adapters/forward/probe_server.hpp
+++ b/src/adapters/forward/probe_server.hpp
@@ -11,7 +11,7 @@
 {
 
 /// The response to a probe.
-struct probe_answer
+struct probe_response
 {
     unsigned status = 200;
     std::string body;
@@ -24,7 +24,7 @@
 class probe_server
 {
 public:
-    using handler = std::function<probe_answer(std::string_view path)>;
+    using handler = std::function<probe_response(std::string_view path)>;
 
     probe_server(edge::asio::any_io_executor loop, handler request_handler);
 
--- a/src/adapters/forward/rate_limit_header.cpp
+++ b/src/adapters/forward/rate_limit_header.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 server_rate_limit
-parse_rate_limit(const response_head& head, const header_dialect& names)
+parse_rate_limit(const response_head& head, const header_names& names)
 {
     server_rate_limit limit;
     const auto [first, last] = head.equal_range(names.rate_limit);
--- a/src/adapters/forward/rate_limit_header.hpp
+++ b/src/adapters/forward/rate_limit_header.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/forward/header_dialect.hpp"
+#include "adapters/forward/header_names.hpp"
 #include "adapters/forward/response_head.hpp"
 
 #include <optional>
@@ -20,6 +20,6 @@
 /// Uses the lowest of several values and ignores malformed ones.
 /// @return The rate limit that the response names.
 server_rate_limit
-parse_rate_limit(const response_head& head, const header_dialect& names);
+parse_rate_limit(const response_head& head, const header_names& names);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/response_head.cpp
+++ b/src/adapters/forward/response_head.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-bool is_not_run_refusal(const response_head& head, const header_dialect& names)
+bool is_not_run_refusal(const response_head& head, const header_names& names)
 {
     const unsigned status = head.result_int();
     const bool refusal = status == status_unavailable ||
@@ -62,8 +62,7 @@
         head[http::field::content_type].substr(0, 17), "text/event-stream");
 }
 
-std::string
-serialize_head(const response_head& head, const header_dialect& names)
+std::string serialize_head(const response_head& head, const header_names& names)
 {
     std::string lines = "HTTP/1.1 " + std::to_string(head.result_int()) + ' ';
     lines += to_string_view(head.reason());
--- a/src/adapters/forward/response_head.hpp
+++ b/src/adapters/forward/response_head.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/forward/header_dialect.hpp"
+#include "adapters/forward/header_names.hpp"
 
 #include <boost/beast/http/fields.hpp>
 #include <boost/beast/http/message.hpp>
@@ -14,7 +14,7 @@
 using response_head = boost::beast::http::response_header<>;
 
 /// @return Whether the response states that the request did not run.
-bool is_not_run_refusal(const response_head& head, const header_dialect& names);
+bool is_not_run_refusal(const response_head& head, const header_names& names);
 
 /// @return Whether the body is a stream of server-sent events.
 bool is_event_stream(const response_head& head);
@@ -22,6 +22,6 @@
 /// @return The status line and the forwarded headers. Hop-by-hop headers and
 ///         those meant only for the router are left out.
 std::string
-serialize_head(const response_head& head, const header_dialect& names);
+serialize_head(const response_head& head, const header_names& names);
 
 } // namespace roseworks::forward
--- a/src/adapters/forward/server_exchange.cpp
+++ b/src/adapters/forward/server_exchange.cpp
@@ -62,7 +62,7 @@
         state != exchange_state::ok && was_pooled && !this->any_byte_sent;
     if (!nothing_sent || this->inbox.interrupted())
         co_return state;
-    // The kept connection was already closed, and no byte was sent on it.
+    // The pooled connection was already closed, and no byte was sent on it.
     state = co_await this->open(duration::min());
     if (state == exchange_state::ok)
         state = co_await this->write(bytes);
@@ -103,7 +103,7 @@
 }
 
 asio::awaitable<exchange_state> server_exchange::read_head(
-    const header_dialect& names, std::string_view id, bool head_only)
+    const header_names& names, std::string_view id, bool head_only)
 {
     for (int heads_read = 0; heads_read < max_heads_read; ++heads_read)
     {
--- a/src/adapters/forward/server_exchange.hpp
+++ b/src/adapters/forward/server_exchange.hpp
@@ -49,8 +49,8 @@
     server_exchange(const server_exchange&) = delete;
     server_exchange& operator=(const server_exchange&) = delete;
 
-    /// Sends the request on a kept connection or on a new one.
-    /// @param longest_idle Longest time that a kept connection may have been
+    /// Sends the request on a pooled connection or on a new one.
+    /// @param longest_idle Longest time that a pooled connection may have been
     ///                     idle.
     /// @param until        Deadline of the exchange.
     asio::awaitable<exchange_state> send(
@@ -64,7 +64,7 @@
     /// @param id        Request ID, which the response echoes.
     /// @param head_only Whether the response has no body.
     asio::awaitable<exchange_state>
-    read_head(const header_dialect& names, std::string_view id, bool head_only);
+    read_head(const header_names& names, std::string_view id, bool head_only);
 
     /// Reads a part of the body. An empty part with `ok` means that the body
     /// has ended.
--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -175,7 +175,7 @@
                 this->traffic,
                 [this, configuration = std::move(configuration)]
                 {
-                    this->server.bound_callers(configuration->callers);
+                    this->server.set_caller_limits(configuration->callers);
                 });
         },
         [this](const std::string& reason)
@@ -401,13 +401,13 @@
         });
 }
 
-forward::probe_answer gateway_app::readiness() const
+forward::probe_response gateway_app::readiness() const
 {
     const bool ready = this->control->ready() && !this->draining;
     return {ready ? status_ok : status_unavailable, {}};
 }
 
-forward::probe_answer gateway_app::metrics_page(std::string_view path) const
+forward::probe_response gateway_app::metrics_page(std::string_view path) const
 {
     if (path != "/metrics")
         return {status_not_found, {}};
--- a/src/app/gateway/gateway_app.hpp
+++ b/src/app/gateway/gateway_app.hpp
@@ -65,8 +65,8 @@
     void look_whether_drained();
     void count_lines();
     void finish();
-    forward::probe_answer readiness() const;
-    forward::probe_answer metrics_page(std::string_view path) const;
+    forward::probe_response readiness() const;
+    forward::probe_response metrics_page(std::string_view path) const;
 
     settings::gateway_settings settings;
     std::string config_path;
--- a/tests/unit/forward/test_rate_limit_header.cpp
+++ b/tests/unit/forward/test_rate_limit_header.cpp
@@ -16,7 +16,7 @@
     head = response_head();
     for (const char* value : values)
         head.insert("Limit", value);
-    header_dialect names;
+    header_names names;
     names.rate_limit = "Limit";
     return parse_rate_limit(head, names);
 }
