--- a/src/adapters/forward/forward_call.hpp
+++ b/src/adapters/forward/forward_call.hpp
@@ -81,7 +81,7 @@
     /// loaded, and waits briefly for the serving table to be updated.
     asio::awaitable<void> wait_for_table_update(
         const std::string& servable, const std::string& instance);
-    /// @return The priority that engines are told, from 0 to 9.
+    /// @return The priority that is sent to engines, from 0 to 9.
     unsigned engine_priority() const;
     std::string
     serialize_request(const server_identity& server, instant now) const;
