--- a/src/adapters/forward/own_answer.hpp
+++ b/src/adapters/forward/local_response.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/forward/header_dialect.hpp"
+#include "adapters/forward/header_names.hpp"
 
 #include <roseworks/instant.hpp>
 #include <roseworks/verdict.hpp>
@@ -11,8 +11,8 @@
 namespace roseworks::forward
 {
 
-/// An answer that doesn't come from a backend server.
-struct own_answer
+/// A response that the router generates itself.
+struct local_response
 {
     unsigned status = 503;
     verdict outcome = verdict::not_run;
@@ -20,16 +20,17 @@
     duration retry_after{}; ///< left out when zero
 };
 
-/// @return The answer for a request that ends without a backend server's. One
-///         that may have run never gets a status that says it has not.
-own_answer make_own_answer(
+/// @return The response to a request for which there is no backend server's
+///         response. If the request may have run, the status never says that it
+///         has not.
+local_response make_local_response(
     refusal_reason reason, verdict outcome, duration retry_after = {});
 
-/// @return The answer's bytes.
-/// @param id of the request; empty: unknown.
+/// @param id Request ID; empty if unknown.
+/// @return   The serialised response.
 std::string to_bytes(
-    const own_answer& answer,
-    const header_dialect& names,
+    const local_response& response,
+    const header_names& names,
     std::string_view id,
     bool keep_alive,
     bool head_only);
--- a/src/adapters/forward/probe_server.hpp
+++ b/src/adapters/forward/probe_server.hpp
@@ -10,25 +10,26 @@
 namespace roseworks::forward
 {
 
-/// What a probe is told.
-struct probe_answer
+/// The response to a probe.
+struct probe_response
 {
     unsigned status = 200;
     std::string body;
 };
 
-/** Answers the GET requests of a load balancer or a metrics collector.
+/** Serves the GET requests of a load balancer or a metrics collector.
 
-    Belongs to one event loop and has to outlive its last run.
+    Runs on one event loop and has to outlive the last run of that loop.
 */
 class probe_server
 {
 public:
-    using handler = std::function<probe_answer(std::string_view path)>;
+    using handler = std::function<probe_response(std::string_view path)>;
 
-    probe_server(edge::asio::any_io_executor loop, handler answers);
+    probe_server(edge::asio::any_io_executor loop, handler request_handler);
 
-    /// @return What failed; empty when it listens.
+    /// Binds to the endpoint and starts to accept connections.
+    /// @return The error; empty on success.
     edge::beast::error_code listen(const edge::tcp::endpoint& endpoint);
 
     void stop();
@@ -38,7 +39,7 @@
     edge::asio::awaitable<void> serve(edge::tcp::socket socket);
 
     edge::asio::any_io_executor executor;
-    handler answer;
+    handler handle;
     edge::edge_options options;
     edge::tcp::acceptor acceptor;
 };
--- a/src/adapters/forward/rate_limit_header.hpp
+++ b/src/adapters/forward/rate_limit_header.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "adapters/forward/header_dialect.hpp"
-#include "adapters/forward/relay_head.hpp"
+#include "adapters/forward/header_names.hpp"
+#include "adapters/forward/response_head.hpp"
 
 #include <optional>
 #include <string_view>
@@ -9,16 +9,17 @@
 namespace roseworks::forward
 {
 
-/// What an answer says of its server's rate limit.
-struct named_rate_limit
+/// The rate limit that a response names for its server.
+struct server_rate_limit
 {
-    std::optional<double> per_second; ///< empty: none that makes sense
-    std::string_view text;            ///< as it stands; borrowed from the head
-    bool is_malformed = false;        ///< named, but no number of requests
+    std::optional<double> requests_per_second; ///< empty: none that is valid
+    std::string_view raw_value; ///< as received; refers to the head
+    bool is_malformed = false;  ///< present, but no valid number
 };
 
-/// Of several the lowest counts, and those that are no numbers don't.
-named_rate_limit
-read_rate_limit(const answer_head& head, const header_dialect& names);
+/// Uses the lowest of several values and ignores malformed ones.
+/// @return The rate limit that the response names.
+server_rate_limit
+parse_rate_limit(const response_head& head, const header_names& names);
 
 } // namespace roseworks::forward
--- /dev/null
+++ b/src/adapters/forward/sse_event_splitter.hpp
@@ -0,0 +1,66 @@
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace roseworks::forward
+{
+
+/** Splits a stream of server-sent events into complete events without changing
+    their bytes.
+
+    A resumable stream is forwarded in complete events only. When it continues
+    on another server, no fragment of an interrupted event precedes the events
+    of that server.
+*/
+class sse_event_splitter
+{
+public:
+    /// @param max_event_bytes Largest event that is accepted.
+    explicit sse_event_splitter(std::size_t max_event_bytes)
+        : max_pending_bytes(max_event_bytes)
+    {
+    }
+
+    /// Appends received bytes.
+    /// @return The events that these bytes complete; empty if there are none.
+    std::string feed(std::string_view bytes);
+
+    /// Removes the bytes of the incomplete event.
+    /// @return These bytes.
+    std::string take_remainder();
+
+    /// Discards the incomplete event before the response of another attempt.
+    void discard_incomplete();
+
+    /// @return Whether the incomplete event is larger than the limit.
+    bool exceeds_limit() const
+    {
+        return this->pending.size() > this->max_pending_bytes;
+    }
+
+    /// @return The ID of the latest complete event that has one; empty if none.
+    const std::string& last_id() const
+    {
+        return this->id;
+    }
+
+    std::uint32_t event_count() const
+    {
+        return this->count;
+    }
+
+private:
+    void parse_line();
+
+    std::size_t max_pending_bytes;
+    std::string pending;
+    std::size_t line_start = 0;
+    std::string pending_id;
+    std::string id;
+    std::uint32_t count = 0;
+};
+
+} // namespace roseworks::forward
