--- a/tests/unit/dissemination/test_registry_change_tracker.cpp
+++ b/tests/unit/dissemination/test_registry_change_tracker.cpp
@@ -111,7 +111,7 @@
     const auto applied = receiver.apply_announced(changes.at(0));
     cr_assert(applied.has_value());
     cr_assert_eq(applied->address, loaded.address);
-    cr_assert_eq(applied->heard, 8);
+    cr_assert_eq(applied->registry_revision, 8);
     cr_assert(applied->holdings.resident == loaded.holdings.resident);
     receiver.read(loaded);
     cr_assert(receiver.take_unannounced().empty());
