--- a/src/adapters/peers/copy_exchange.cpp
+++ b/src/adapters/peers/copy_exchange.cpp
@@ -28,44 +28,45 @@
 {
 
 constexpr std::size_t length_bytes = 4;
-constexpr unsigned bits_in_byte = 8;
-constexpr std::size_t most_ask_bytes = 256;
-constexpr std::size_t piece_bytes = std::size_t(64) << 10;
+constexpr unsigned bits_per_byte = 8;
+constexpr std::size_t max_request_bytes = 256;
+constexpr std::size_t chunk_bytes = std::size_t(64) << 10;
 
-std::string with_length(const std::string& sealed)
+std::string add_length_prefix(const std::string& content)
 {
     std::string framed;
     for (std::size_t i = length_bytes; i > 0; --i)
-        framed +=
-            static_cast<char>(sealed.size() >> ((i - 1) * bits_in_byte) & 0xFF);
-    return framed + sealed;
+        framed += static_cast<char>(
+            content.size() >> ((i - 1) * bits_per_byte) & 0xFF);
+    return framed + content;
 }
 
-std::size_t length_of(const std::array<char, length_bytes>& bytes)
+std::size_t decode_length(const std::array<char, length_bytes>& bytes)
 {
     std::size_t length = 0;
     for (const char byte : bytes)
-        length = length << bits_in_byte | static_cast<unsigned char>(byte);
+        length = length << bits_per_byte | static_cast<unsigned char>(byte);
     return length;
 }
 
-/// @return The word in a sealed frame; empty when it can't be read.
-template <class Word>
-std::optional<Word> word_of(const std::string& sealed)
+/// @return The message of a frame, or empty if the frame is malformed.
+template <class Message>
+std::optional<Message> decode_message(const std::string& frame)
 {
-    const auto content = peers::unseal(sealed);
+    const auto content = peers::remove_checksum(frame);
     if (!content)
         return std::nullopt;
     try
     {
         word_archive archive(*content);
-        Word word;
-        archive(word);
-        return word;
+        Message message;
+        archive(message);
+        return message;
     }
     catch (const std::exception&)
     {
-        // A router of another version, mostly: it counts as without a copy.
+        // The other router usually runs another version. It is treated as a
+        // router without a copy.
         return std::nullopt;
     }
 }
@@ -73,10 +74,10 @@
 } // namespace
 
 copy_exchange::copy_exchange(
-    asio::io_context& context, options chosen, platform::byte_meter& counted)
+    asio::io_context& context, options settings, platform::byte_meter& meter)
     : loop(context)
-    , settings(std::move(chosen))
-    , meter(counted)
+    , settings(std::move(settings))
+    , meter(meter)
     , acceptor(context, this->settings.listen)
 {
 }
@@ -84,7 +85,7 @@
 void copy_exchange::serve(directory_copy_source& from)
 {
     this->source = &from;
-    asio::co_spawn(this->loop, this->accept(), asio::detached);
+    asio::co_spawn(this->loop, this->accept_connections(), asio::detached);
 }
 
 void copy_exchange::stop()
@@ -95,7 +96,7 @@
     this->acceptor.close(ignored);
 }
 
-asio::awaitable<void> copy_exchange::accept()
+asio::awaitable<void> copy_exchange::accept_connections()
 {
     constexpr std::chrono::milliseconds pause_after_error{50};
     while (!this->stopped)
@@ -108,50 +109,52 @@
             co_return;
         if (error)
         {
-            // Out of descriptors, mostly.
+            // Usually the process has run out of file descriptors. Wait before
+            // the next attempt.
             asio::steady_timer timer(this->loop, pause_after_error);
             co_await timer.async_wait(
                 asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
-        if (this->answering >= this->settings.most_at_once)
-            continue; // closed: the router asks another one
+        if (this->active_requests >= this->settings.most_at_once)
+            continue; // closes the socket; the router asks another router
         asio::co_spawn(
             this->loop,
-            this->answer(stream(std::move(socket))),
+            this->serve_request(stream(std::move(socket))),
             asio::detached);
     }
 }
 
-asio::awaitable<void> copy_exchange::answer(stream with)
+asio::awaitable<void> copy_exchange::serve_request(stream connection)
 {
-    ++this->answering;
-    const auto asked = co_await this->read(with, most_ask_bytes);
-    const auto what = asked ? word_of<copy_ask>(*asked) : std::nullopt;
-    if (what && this->source != nullptr)
+    ++this->active_requests;
+    const auto frame = co_await this->read_frame(connection, max_request_bytes);
+    const auto request =
+        frame ? decode_message<copy_ask>(*frame) : std::nullopt;
+    if (request && this->source != nullptr)
     {
-        auto bytes = this->written(this->source->copy_for(*what));
-        co_await this->write(with, std::move(bytes));
+        auto response = this->encode_copy(this->source->copy_for(*request));
+        co_await this->write_frame(connection, std::move(response));
     }
-    --this->answering;
+    --this->active_requests;
 }
 
 std::shared_ptr<const std::string>
-copy_exchange::written(std::shared_ptr<const directory_copy> copy)
+copy_exchange::encode_copy(std::shared_ptr<const directory_copy> copy)
 {
     if (!copy)
         copy = std::make_shared<const directory_copy>();
-    if (copy != this->last)
+    if (copy != this->last_copy)
     {
-        this->last_bytes = std::make_shared<const std::string>(
-            with_length(peers::seal(peers::to_archive(*copy))));
-        this->last = std::move(copy);
+        this->last_frame = std::make_shared<const std::string>(
+            add_length_prefix(peers::add_checksum(peers::serialise(*copy))));
+        this->last_copy = std::move(copy);
     }
-    return this->last_bytes;
+    return this->last_frame;
 }
 
 void copy_exchange::fetch(
-    std::string_view address, const copy_ask& what, copy_done done)
+    std::string_view address, const copy_ask& request, copy_done done)
 {
     const auto parsed = platform::parse_endpoint(std::string(address));
     if (!parsed || this->stopped)
@@ -166,7 +169,7 @@
     }
     asio::co_spawn(
         this->loop,
-        this->ask(*parsed, what),
+        this->request_copy(*parsed, request),
         [this, done = std::move(done)](
             const std::exception_ptr&, std::optional<directory_copy> copy)
         {
@@ -176,44 +179,46 @@
 }
 
 asio::awaitable<std::optional<directory_copy>>
-copy_exchange::ask(tcp::endpoint whom, copy_ask what)
+copy_exchange::request_copy(tcp::endpoint endpoint, copy_ask request)
 {
     error_code error;
-    stream with(this->loop);
-    with.expires_after(this->settings.connect_timeout);
-    co_await with.async_connect(
-        whom, asio::redirect_error(asio::use_awaitable, error));
+    stream connection(this->loop);
+    connection.expires_after(this->settings.connect_timeout);
+    co_await connection.async_connect(
+        endpoint, asio::redirect_error(asio::use_awaitable, error));
     if (error)
         co_return std::nullopt;
-    auto asked = std::make_shared<const std::string>(
-        with_length(peers::seal(peers::to_archive(what))));
-    const bool sent = co_await this->write(with, std::move(asked));
+    auto frame = std::make_shared<const std::string>(
+        add_length_prefix(peers::add_checksum(peers::serialise(request))));
+    const bool sent = co_await this->write_frame(connection, std::move(frame));
     if (!sent)
         co_return std::nullopt;
-    const auto answered = co_await this->read(with, this->settings.most_bytes);
-    if (!answered)
+    const auto response =
+        co_await this->read_frame(connection, this->settings.most_bytes);
+    if (!response)
         co_return std::nullopt;
-    auto copy = word_of<directory_copy>(*answered);
-    // One that knows nothing says so by its age.
+    auto copy = decode_message<directory_copy>(*response);
+    // A negative age means that the router has no data of this topic.
     if (copy && copy->state.age_us < 0)
         copy.reset();
     co_return copy;
 }
 
 asio::awaitable<bool>
-copy_exchange::write(stream& to, std::shared_ptr<const std::string> bytes)
+copy_exchange::write_frame(stream& to, std::shared_ptr<const std::string> frame)
 {
-    std::size_t done = 0;
-    while (done < bytes->size())
+    std::size_t written = 0;
+    while (written < frame->size())
     {
-        const auto piece = asio::buffer(
-            bytes->data() + done, std::min(piece_bytes, bytes->size() - done));
+        const auto chunk = asio::buffer(
+            frame->data() + written,
+            std::min(chunk_bytes, frame->size() - written));
         error_code error;
         to.expires_after(this->settings.silence);
         const std::size_t size = co_await to.async_write_some(
-            piece, asio::redirect_error(asio::use_awaitable, error));
+            chunk, asio::redirect_error(asio::use_awaitable, error));
         this->meter.sent += size;
-        done += size;
+        written += size;
         if (error)
             co_return false;
     }
@@ -221,23 +226,23 @@
 }
 
 asio::awaitable<std::optional<std::string>>
-copy_exchange::read(stream& from, std::size_t most)
+copy_exchange::read_frame(stream& from, std::size_t max_bytes)
 {
     error_code error;
-    std::array<char, length_bytes> head{};
+    std::array<char, length_bytes> prefix{};
     from.expires_after(this->settings.silence);
     co_await asio::async_read(
         from,
-        asio::buffer(head),
+        asio::buffer(prefix),
         asio::redirect_error(asio::use_awaitable, error));
-    const std::size_t length = length_of(head);
-    if (error || length > most)
+    const std::size_t length = decode_length(prefix);
+    if (error || length > max_bytes)
         co_return std::nullopt;
     std::string bytes;
     while (bytes.size() < length)
     {
         const std::size_t before = bytes.size();
-        bytes.resize(std::min(before + piece_bytes, length));
+        bytes.resize(std::min(before + chunk_bytes, length));
         from.expires_after(this->settings.silence);
         const std::size_t size = co_await from.async_read_some(
             asio::buffer(bytes.data() + before, bytes.size() - before),
--- a/src/adapters/peers/copy_exchange.hpp
+++ b/src/adapters/peers/copy_exchange.hpp
@@ -18,10 +18,12 @@
 namespace roseworks
 {
 
-/** Copies of the store's topics between gateways over TCP: one ask and one
-    answer a connection, each a cereal archive behind its length and a checksum.
+/** Exchanges copies of the store's topics between routers over TCP.
 
-    Runs on the control thread's context and has to outlive its last run.
+    Each connection carries one request and one response. Both are cereal
+    archives, preceded by a length and a checksum. All calls run on the control
+    thread's I/O context, and the object must outlive the last run of that
+    context.
 */
 class copy_exchange final : public directory_copy_port
 {
@@ -29,17 +31,17 @@
     struct options
     {
         boost::asio::ip::tcp::endpoint listen;
-        /// Routers that are answered at once; more are turned away, and ask
-        /// another one.
+        /// Maximum number of requests served concurrently. Further connections
+        /// are closed, and their routers ask another router.
         std::size_t most_at_once = 8;
         std::chrono::milliseconds connect_timeout{500};
-        /// Without a byte for so long an exchange ends.
+        /// An exchange is aborted when no data was transferred for this time.
         std::chrono::milliseconds silence{1000};
         std::size_t most_bytes = std::size_t(32) << 20;
     };
 
     /// Binds the port.
-    /// @throws boost::system::system_error when the address can't be bound.
+    /// @throws boost::system::system_error if the address can't be bound.
     copy_exchange(
         boost::asio::io_context& loop,
         options settings,
@@ -47,32 +49,35 @@
 
     void serve(directory_copy_source& source) override;
     void fetch(
-        std::string_view address, const copy_ask& ask, copy_done done) override;
+        std::string_view address,
+        const copy_ask& request_copy,
+        copy_done done) override;
     void stop() override;
 
 private:
     using stream = boost::beast::tcp_stream;
 
-    boost::asio::awaitable<void> accept();
-    boost::asio::awaitable<void> answer(stream with);
+    boost::asio::awaitable<void> accept_connections();
+    boost::asio::awaitable<void> serve_request(stream connection);
     boost::asio::awaitable<std::optional<directory_copy>>
-    ask(boost::asio::ip::tcp::endpoint whom, copy_ask what);
+    request_copy(boost::asio::ip::tcp::endpoint endpoint, copy_ask request);
     std::shared_ptr<const std::string>
-    written(std::shared_ptr<const directory_copy> copy);
+    encode_copy(std::shared_ptr<const directory_copy> copy);
     boost::asio::awaitable<bool>
-    write(stream& to, std::shared_ptr<const std::string> bytes);
+    write_frame(stream& to, std::shared_ptr<const std::string> frame);
     boost::asio::awaitable<std::optional<std::string>>
-    read(stream& from, std::size_t most);
+    read_frame(stream& from, std::size_t max_bytes);
 
     boost::asio::io_context& loop;
     options settings;
     platform::byte_meter& meter;
     boost::asio::ip::tcp::acceptor acceptor;
     directory_copy_source* source = nullptr;
-    /// Given last, and as it is sent: many ask for the same after a start.
-    std::shared_ptr<const directory_copy> last;
-    std::shared_ptr<const std::string> last_bytes;
-    std::size_t answering = 0;
+    /// The copy sent last and its encoded form. It is encoded once, because
+    /// many routers request the same copy after a start.
+    std::shared_ptr<const directory_copy> last_copy;
+    std::shared_ptr<const std::string> last_frame;
+    std::size_t active_requests = 0;
     bool stopped = false;
 };
 
--- a/src/adapters/peers/datagram_seal.cpp
+++ b/src/adapters/peers/datagram_seal.cpp
@@ -20,9 +20,9 @@
 constexpr std::uint64_t window_bits = 64;
 
 std::array<unsigned char, mac_bytes>
-mac_of(std::span<std::byte const> key, std::span<std::byte const> data)
+compute_mac(std::span<std::byte const> key, std::span<std::byte const> data)
 {
-    std::array<unsigned char, EVP_MAX_MD_SIZE> full{};
+    std::array<unsigned char, EVP_MAX_MD_SIZE> hmac{};
     unsigned int length = 0;
     HMAC(
         EVP_sha256(),
@@ -30,10 +30,10 @@
         static_cast<int>(key.size()),
         reinterpret_cast<const unsigned char*>(data.data()),
         data.size(),
-        full.data(),
+        hmac.data(),
         &length);
     std::array<unsigned char, mac_bytes> result{};
-    std::copy_n(full.begin(), mac_bytes, result.begin());
+    std::copy_n(hmac.begin(), mac_bytes, result.begin());
     return result;
 }
 
@@ -58,30 +58,30 @@
         reinterpret_cast<unsigned char*>(datagram.data()) + 1, ++this->counter);
     std::ranges::copy(content, datagram.begin() + header_bytes);
     const auto& key = this->keys.keys.at(this->keys.current);
-    const auto mac = mac_of(key, datagram);
+    const auto mac = compute_mac(key, datagram);
     const auto* first = reinterpret_cast<const std::byte*>(mac.data());
     datagram.insert(datagram.end(), first, first + mac.size());
     return datagram;
 }
 
-std::optional<datagram_seal::opened>
+std::optional<datagram_seal::opened_datagram>
 datagram_seal::open(std::span<std::byte const> datagram) const
 {
     if (datagram.size() < overhead)
         return std::nullopt;
-    const auto number = std::to_integer<std::uint8_t>(datagram[0]);
-    const auto key = this->keys.keys.find(number);
+    const auto key_number = std::to_integer<std::uint8_t>(datagram[0]);
+    const auto key = this->keys.keys.find(key_number);
     if (key == this->keys.keys.end())
         return std::nullopt;
-    const auto sealed = datagram.first(datagram.size() - mac_bytes);
-    const auto expected = mac_of(key->second, sealed);
-    const auto* given = datagram.data() + sealed.size();
-    if (CRYPTO_memcmp(expected.data(), given, mac_bytes) != 0)
+    const auto authenticated = datagram.first(datagram.size() - mac_bytes);
+    const auto expected_mac = compute_mac(key->second, authenticated);
+    const auto* received_mac = datagram.data() + authenticated.size();
+    if (CRYPTO_memcmp(expected_mac.data(), received_mac, mac_bytes) != 0)
         return std::nullopt;
-    opened result;
+    opened_datagram result;
     result.counter = boost::endian::load_little_u64(
         reinterpret_cast<const unsigned char*>(datagram.data()) + 1);
-    result.content = sealed.subspan(header_bytes);
+    result.content = authenticated.subspan(header_bytes);
     return result;
 }
 
--- a/src/adapters/peers/datagram_seal.hpp
+++ b/src/adapters/peers/datagram_seal.hpp
@@ -11,61 +11,65 @@
 namespace roseworks
 {
 
-/** Seals and opens datagrams between routers.
+/** Authenticates datagrams between routers.
 
-    Shape: `u8` key number, `u64` counter (little-endian), content, 16 bytes of
-    HMAC-SHA256 over all before it. The counter starts at the process's
-    incarnation and grows with each datagram, so that a receiver can tell a
-    repeated datagram (see `replay_window`).
+    Format: `u8` key number, `u64` counter (little-endian), content, and the
+    first 16 bytes of the HMAC-SHA256 of everything before. The content isn't
+    encrypted. The counter starts at the process's incarnation and increases
+    with each datagram, so that a receiver can detect a repeated datagram (see
+    `replay_window`).
 */
 class datagram_seal
 {
 public:
-    /// What `open` yields; `content` points into the datagram.
-    struct opened
+    /// An authenticated datagram; `content` points into the datagram's bytes.
+    struct opened_datagram
     {
         std::uint64_t counter = 0;
         std::span<std::byte const> content;
     };
 
-    /// Bytes added to the content.
+    /// Number of bytes that `seal` adds to the content.
     static constexpr std::size_t overhead = 1 + 8 + 16;
 
     /**
         @param keys          Keys to accept and to seal with.
-        @param first_counter Higher than any counter of this router's earlier
-                             processes: microseconds at the start.
+        @param first_counter Has to be higher than any counter of this router's
+                             earlier processes: the time of the start in
+                             microseconds.
     */
     datagram_seal(mac_keys keys, std::uint64_t first_counter);
 
-    /// Keys were reloaded.
+    /// Replaces the keys after a reload of the key file.
     void replace_keys(mac_keys keys);
 
-    /// @return The datagram for this content.
+    /// @return An authenticated datagram with this content.
     std::vector<std::byte> seal(std::span<std::byte const> content);
 
-    /// @return The content, empty when the key is unknown or the MAC is wrong.
-    std::optional<opened> open(std::span<std::byte const> datagram) const;
+    /// @return The content, or empty if the key is unknown or the MAC is wrong.
+    std::optional<opened_datagram>
+    open(std::span<std::byte const> datagram) const;
 
 private:
     mac_keys keys;
     std::uint64_t counter;
 };
 
-/** Remembers which counters of one sender were seen.
+/** Detects repeated datagrams of one sender by their counters.
 
-    Accepts each counter once; a counter more than 64 below the highest seen is
-    refused, as it can't be told from a repeated one.
+    Accepts each counter once. A counter 64 or more below the highest one is
+    rejected, because the window doesn't record whether it was seen.
 */
 class replay_window
 {
 public:
-    /// @return Whether the counter is new; it is seen from now on.
+    /// Records the counter as seen.
+    /// @return Whether the counter is new.
     bool accept(std::uint64_t counter);
 
 private:
     std::uint64_t highest = 0;
-    std::uint64_t seen = 0;
+    std::uint64_t seen = 0; ///< bit i: whether `highest - i` was seen
 };
 
 } // namespace roseworks
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -22,61 +22,67 @@
 namespace
 {
 
-/// What is sealed begins with the kind of the word.
-template <class Word>
-std::string encode(std::uint8_t kind, const Word& word)
+/// @return A datagram: the checksum, the kind as one byte, and the message.
+template <class Message>
+std::string encode(std::uint8_t kind, const Message& message)
 {
-    return peers::seal(static_cast<char>(kind) + peers::to_archive(word));
+    return peers::add_checksum(
+        static_cast<char>(kind) + peers::serialise(message));
 }
 
-/// @return The list cut into runs of about as many elements as fit.
+/// @return The list, split into consecutive parts that each fit approximately
+///         into `max_bytes`.
 template <class Element>
-std::vector<std::vector<Element>>
-cut(const std::vector<Element>& list, std::size_t bytes_each, std::size_t room)
+std::vector<std::vector<Element>> split_list(
+    const std::vector<Element>& list,
+    std::size_t element_bytes,
+    std::size_t max_bytes)
 {
-    const std::size_t fit = std::max<std::size_t>(room / bytes_each, 1);
+    const std::size_t elements_per_part =
+        std::max<std::size_t>(max_bytes / element_bytes, 1);
     std::vector<std::vector<Element>> parts;
-    for (std::size_t i = 0; i < list.size(); i += fit)
+    for (std::size_t i = 0; i < list.size(); i += elements_per_part)
     {
         const auto first = list.begin() + static_cast<std::ptrdiff_t>(i);
-        const auto last = list.begin() + static_cast<std::ptrdiff_t>(
-                                             std::min(i + fit, list.size()));
+        const auto last =
+            list.begin() + static_cast<std::ptrdiff_t>(
+                               std::min(i + elements_per_part, list.size()));
         parts.emplace_back(first, last);
     }
     return parts;
 }
 
-/// Encoded sizes at most, by names of usual length.
-constexpr std::size_t need_bytes = 72;
-constexpr std::size_t use_bytes = 72;
-constexpr std::size_t engine_bytes = 220;
-constexpr std::size_t limit_bytes = 64;
-constexpr std::size_t word_room = gateway_peers::most_bytes - 100;
+/// Upper estimates of the encoded sizes, for names of usual length.
+constexpr std::size_t max_need_bytes = 72;
+constexpr std::size_t max_usage_bytes = 72;
+constexpr std::size_t max_engine_bytes = 220;
+constexpr std::size_t max_limit_bytes = 64;
+constexpr std::size_t max_content_bytes = gateway_peers::most_bytes - 100;
 
 } // namespace
 
 gateway_peers::gateway_peers(
     asio::io_context& loop,
     const udp::endpoint& listen,
-    event_sink& sink,
-    platform::byte_meter& counted)
+    event_sink& events,
+    platform::byte_meter& meter)
     : socket(loop, listen)
-    , events(sink)
-    , meter(counted)
+    , events(events)
+    , meter(meter)
     , part_timer(loop)
 {
     this->socket.non_blocking(true);
 }
 
-void gateway_peers::start(gateway_peer_listener& told)
+void gateway_peers::start(gateway_peer_listener& receiver)
 {
-    this->listener = &told;
+    this->listener = &receiver;
     this->receive();
 }
 
 void gateway_peers::stop()
 {
-    this->parts.clear();
+    this->queued_parts.clear();
     this->part_timer.cancel();
     boost::system::error_code ignored;
     this->socket.close(ignored);
@@ -93,85 +99,88 @@
                 !this->socket.is_open())
                 return;
             if (!error)
-                this->take({this->buffer.data(), size});
+                this->handle_datagram({this->buffer.data(), size});
             this->receive();
         });
 }
 
-void gateway_peers::take(std::string_view datagram)
+void gateway_peers::handle_datagram(std::string_view datagram)
 {
     this->meter.received += datagram.size();
-    const auto content = peers::unseal(datagram);
+    const auto content = peers::remove_checksum(datagram);
     if (!content)
     {
         ++this->rejected_count;
         return;
     }
     const std::string_view body = content->substr(1);
-    switch (static_cast<word_kind>(content->front()))
+    switch (static_cast<message_kind>(content->front()))
     {
-    case word_kind::router:
-        if (router_report word; this->decode(body, word))
-            this->listener->router_word_heard(word);
+    case message_kind::router_status:
+        if (router_report report; this->decode(body, report))
+            this->listener->router_word_heard(report);
         return;
-    case word_kind::owner:
-        if (owner_announcement word; this->decode(body, word))
-            this->listener->owner_word_heard(word, this->sender_text());
+    case message_kind::ownership:
+        if (owner_announcement announcement; this->decode(body, announcement))
+            this->listener->owner_word_heard(
+                announcement, this->sender_address());
         return;
-    case word_kind::broken:
-        if (connection_loss_report word; this->decode(body, word))
-            this->listener->break_word_heard(word);
+    case message_kind::connection_loss:
+        if (connection_loss_report report; this->decode(body, report))
+            this->listener->break_word_heard(report);
         return;
-    case word_kind::directory:
-        if (directory_word word; this->decode(body, word))
-            this->listener->directory_word_heard(word);
+    case message_kind::directory:
+        if (directory_word message; this->decode(body, message))
+            this->listener->directory_word_heard(message);
         return;
-    case word_kind::quota_ask:
-        if (quota_ask word; this->decode(body, word))
-            this->listener->quota_ask_heard(word, this->sender_text());
+    case message_kind::quota_request:
+        if (quota_ask request; this->decode(body, request))
+            this->listener->quota_ask_heard(request, this->sender_address());
         return;
-    case word_kind::quota_answer:
-        if (quota_answer word; this->decode(body, word))
-            this->listener->quota_answer_heard(word);
+    case message_kind::quota_response:
+        if (quota_answer response; this->decode(body, response))
+            this->listener->quota_answer_heard(response);
         return;
-    case word_kind::server_limits:
-        if (server_limit_word word; this->decode(body, word))
-            this->listener->server_limit_word_heard(word);
+    case message_kind::server_limits:
+        if (server_limit_word message; this->decode(body, message))
+            this->listener->server_limit_word_heard(message);
         return;
     }
     ++this->rejected_count;
 }
 
-std::string gateway_peers::sender_text() const
+std::string gateway_peers::sender_address() const
 {
     std::ostringstream text;
     text << this->sender;
     return text.str();
 }
 
-template <class Word>
-bool gateway_peers::decode(std::string_view content, Word& word)
+template <class Message>
+bool gateway_peers::decode(std::string_view content, Message& message)
 {
     try
     {
         word_archive archive(content);
-        archive(word);
+        archive(message);
         return true;
     }
     catch (const std::exception&)
     {
-        // Counted: a sender of another version, mostly.
+        // The sender usually runs another version.
         ++this->rejected_count;
         return false;
     }
 }
 
-template <class Word>
-void gateway_peers::send_one(
-    std::span<const std::string> addresses, word_kind kind, const Word& word)
+template <class Message>
+void gateway_peers::send_message(
+    std::span<const std::string> addresses,
+    message_kind kind,
+    const Message& message)
 {
     this->send_datagram(
-        addresses, encode(static_cast<std::uint8_t>(kind), word));
+        addresses, encode(static_cast<std::uint8_t>(kind), message));
 }
 
 void gateway_peers::send_datagram(
@@ -182,116 +191,123 @@
         const auto parsed = platform::parse_endpoint(address);
         if (!parsed)
             continue;
-        boost::system::error_code lost;
+        boost::system::error_code error;
         const std::size_t size = this->socket.send_to(
             asio::buffer(datagram),
             udp::endpoint(parsed->address(), parsed->port()),
             0,
-            lost);
-        // A datagram that can't be sent is as good as lost on its way.
-        this->meter.sent += lost ? 0 : size;
+            error);
+        // A failed send is treated like a datagram lost in the network.
+        this->meter.sent += error ? 0 : size;
     }
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const router_report& word)
+    std::span<const std::string> addresses, const router_report& report)
 {
-    const auto needs = cut(word.needs, need_bytes, word_room);
-    const auto uses = cut(word.uses, use_bytes, word_room);
-    router_report part = word;
+    const auto needs =
+        split_list(report.needs, max_need_bytes, max_content_bytes);
+    const auto uses =
+        split_list(report.uses, max_usage_bytes, max_content_bytes);
+    router_report part = report;
     part.needs.clear();
     part.uses.clear();
-    for (const auto& some : needs)
+    for (const auto& chunk : needs)
     {
-        part.needs = some;
-        this->send_one(addresses, word_kind::router, part);
+        part.needs = chunk;
+        this->send_message(addresses, message_kind::router_status, part);
         ++part.sequence;
-        part.unreachable_engines.clear(); // told once
+        part.unreachable_engines.clear(); // sent only once
     }
     part.needs.clear();
-    for (const auto& some : uses)
+    for (const auto& chunk : uses)
     {
-        part.uses = some;
-        this->send_one(addresses, word_kind::router, part);
+        part.uses = chunk;
+        this->send_message(addresses, message_kind::router_status, part);
         ++part.sequence;
         part.unreachable_engines.clear();
     }
     if (needs.empty() && uses.empty())
-        this->send_one(addresses, word_kind::router, part);
+        this->send_message(addresses, message_kind::router_status, part);
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const owner_announcement& word)
+    std::span<const std::string> addresses,
+    const owner_announcement& announcement)
 {
-    owner_announcement part = word;
+    owner_announcement part = announcement;
     part.engines.clear();
-    for (const auto& some : cut(word.engines, engine_bytes, word_room))
+    for (const auto& chunk :
+         split_list(announcement.engines, max_engine_bytes, max_content_bytes))
     {
-        part.engines = some;
-        this->send_one(addresses, word_kind::owner, part);
+        part.engines = chunk;
+        this->send_message(addresses, message_kind::ownership, part);
     }
-    if (word.engines.empty())
-        this->send_one(addresses, word_kind::owner, part);
+    if (announcement.engines.empty())
+        this->send_message(addresses, message_kind::ownership, part);
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const connection_loss_report& word)
+    std::span<const std::string> addresses,
+    const connection_loss_report& report)
 {
-    this->send_one(addresses, word_kind::broken, word);
+    this->send_message(addresses, message_kind::connection_loss, report);
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const directory_word& word)
+    std::span<const std::string> addresses, const directory_word& message)
 {
-    const auto kind = static_cast<std::uint8_t>(word_kind::directory);
-    const std::vector<std::string> to(addresses.begin(), addresses.end());
-    for (const directory_word& part : split(word, word_room))
-        this->parts.push_back({to, encode(kind, part)});
-    while (this->parts.size() > most_parts)
-        this->parts.pop_front();
-    if (!this->is_pausing)
-        this->send_part();
+    const auto kind = static_cast<std::uint8_t>(message_kind::directory);
+    const std::vector<std::string> recipients(
+        addresses.begin(), addresses.end());
+    for (const directory_word& part : split(message, max_content_bytes))
+        this->queued_parts.push_back({recipients, encode(kind, part)});
+    while (this->queued_parts.size() > max_queued_parts)
+        this->queued_parts.pop_front();
+    if (!this->is_part_timer_running)
+        this->send_next_part();
 }
 
 void gateway_peers::send(
-    std::span<const std::string> addresses, const server_limit_word& word)
+    std::span<const std::string> addresses, const server_limit_word& message)
 {
-    server_limit_word part = word;
-    for (auto& some : cut(word.limits, limit_bytes, word_room))
+    server_limit_word part = message;
+    for (auto& chunk :
+         split_list(message.limits, max_limit_bytes, max_content_bytes))
     {
-        part.limits = std::move(some);
-        this->send_one(addresses, word_kind::server_limits, part);
+        part.limits = std::move(chunk);
+        this->send_message(addresses, message_kind::server_limits, part);
     }
 }
 
 void gateway_peers::send(std::string_view address, const quota_ask& ask)
 {
-    // A few draws and returns at most: they are sent as they come.
-    const std::string to[] = {std::string(address)};
-    this->send_one(to, word_kind::quota_ask, ask);
+    // Not split: a message holds only a few draws and returns.
+    const std::string recipients[] = {std::string(address)};
+    this->send_message(recipients, message_kind::quota_request, ask);
 }
 
 void gateway_peers::send(std::string_view address, const quota_answer& answer)
 {
-    const std::string to[] = {std::string(address)};
-    this->send_one(to, word_kind::quota_answer, answer);
+    const std::string recipients[] = {std::string(address)};
+    this->send_message(recipients, message_kind::quota_response, answer);
 }
 
-void gateway_peers::send_part()
+void gateway_peers::send_next_part()
 {
-    if (this->parts.empty())
+    if (this->queued_parts.empty())
         return;
-    const waiting_part part = std::move(this->parts.front());
-    this->parts.pop_front();
+    const queued_part part = std::move(this->queued_parts.front());
+    this->queued_parts.pop_front();
     this->send_datagram(part.addresses, part.datagram);
-    this->is_pausing = true;
-    this->part_timer.expires_after(part_pause);
+    this->is_part_timer_running = true;
+    this->part_timer.expires_after(part_interval);
     this->part_timer.async_wait(
         [this](const boost::system::error_code& error)
         {
-            this->is_pausing = false;
+            this->is_part_timer_running = false;
             if (!error)
-                this->send_part();
+                this->send_next_part();
         });
 }
 
--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -20,26 +20,29 @@
 namespace roseworks
 {
 
-/** Words between the gateways, one cereal archive a datagram behind a checksum.
+/** Messages between routers. Each datagram holds a checksum and one cereal
+    archive.
 
-    A datagram that is damaged or isn't a word is counted and dropped. Words
-    that are too long for one datagram are split by their lists. Runs on the
-    control thread's context and has to outlive its last run.
+    A damaged or malformed datagram is counted and dropped. A message that is
+    too long for one datagram is split into several that each hold a part of its
+    lists. All calls run on the control thread's I/O context, and the object
+    must outlive the last run of that context.
 */
 class gateway_peers final : public gateway_peer_port
 {
 public:
-    /// Bytes of a datagram at most: under a usual network's packet, so that
-    /// one lost packet loses no other.
+    /// Maximum size of a datagram. It is below the usual MTU, so that IP
+    /// doesn't fragment a datagram and the loss of one packet loses only one
+    /// datagram.
     static constexpr std::size_t most_bytes = 1400;
-    /// Between two datagrams to all routers of one long word: sent at once they
-    /// would fill the link, and the last ones be lost.
-    static constexpr std::chrono::milliseconds part_pause{20};
-    /// Parts that wait at most; the oldest are dropped then.
-    static constexpr std::size_t most_parts = 32;
+    /// Interval between the parts of a long message to all routers. Sent at
+    /// once, they would saturate the link and the last ones would be lost.
+    static constexpr std::chrono::milliseconds part_interval{20};
+    /// Maximum number of queued parts. Beyond it the oldest are dropped.
+    static constexpr std::size_t max_queued_parts = 32;
 
     /// Binds the socket.
-    /// @throws boost::system::system_error when the address can't be bound.
+    /// @throws boost::system::system_error if the address can't be bound.
     gateway_peers(
         boost::asio::io_context& loop,
         const boost::asio::ip::udp::endpoint& listen,
@@ -47,20 +50,21 @@
         platform::byte_meter& meter);
 
     void start(gateway_peer_listener& listener) override;
-    void send(std::span<const std::string> addresses, const router_report& word)
-        override;
     void send(
         std::span<const std::string> addresses,
-        const owner_announcement& word) override;
+        const router_report& report) override;
     void send(
         std::span<const std::string> addresses,
-        const connection_loss_report& word) override;
+        const owner_announcement& announcement) override;
     void send(
         std::span<const std::string> addresses,
-        const directory_word& word) override;
+        const connection_loss_report& report) override;
     void send(
         std::span<const std::string> addresses,
-        const server_limit_word& word) override;
+        const directory_word& message) override;
+    void send(
+        std::span<const std::string> addresses,
+        const server_limit_word& message) override;
     void send(std::string_view address, const quota_ask& ask) override;
     void send(std::string_view address, const quota_answer& answer) override;
     void stop() override;
@@ -71,28 +75,30 @@
     }
 
 private:
-    enum class word_kind : std::uint8_t
+    enum class message_kind : std::uint8_t
     {
-        router = 1,
-        owner = 2,
-        broken = 3,
+        router_status = 1,
+        ownership = 2,
+        connection_loss = 3,
         directory = 4,
-        quota_ask = 5,
-        quota_answer = 6,
+        quota_request = 5,
+        quota_response = 6,
         server_limits = 7
     };
 
     void receive();
-    void take(std::string_view datagram);
-    std::string sender_text() const;
-    template <class Word>
-    bool decode(std::string_view content, Word& word);
+    void handle_datagram(std::string_view datagram);
+    std::string sender_address() const;
+    template <class Message>
+    bool decode(std::string_view content, Message& message);
     void send_datagram(
         std::span<const std::string> addresses, const std::string& datagram);
-    void send_part();
-    template <class Word>
-    void send_one(
-        std::span<const std::string> addresses, word_kind kind, const Word&);
+    void send_next_part();
+    template <class Message>
+    void send_message(
+        std::span<const std::string> addresses,
+        message_kind kind,
+        const Message&);
 
     boost::asio::ip::udp::socket socket;
     event_sink& events;
@@ -102,16 +108,16 @@
     std::array<char, 65536> buffer;
     std::uint64_t rejected_count = 0;
 
-    /// A part of a long word on its way to many.
-    struct waiting_part
+    /// A part of a long message that is sent after the parts before it.
+    struct queued_part
     {
         std::vector<std::string> addresses;
         std::string datagram;
     };
 
-    std::deque<waiting_part> parts;
+    std::deque<queued_part> queued_parts;
     boost::asio::steady_timer part_timer;
-    bool is_pausing = false; ///< after a part
+    bool is_part_timer_running = false; ///< `part_timer` runs
 };
 
 } // namespace roseworks
--- a/src/adapters/peers/mac_keys.cpp
+++ b/src/adapters/peers/mac_keys.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t min_hex_digits = 32;
 constexpr std::size_t max_hex_digits = 128;
 
-std::optional<std::uint8_t> key_number(std::string_view text)
+std::optional<std::uint8_t> parse_key_number(std::string_view text)
 {
     unsigned value = 0;
     const auto* const end = text.data() + text.size();
@@ -29,25 +29,25 @@
     return static_cast<std::uint8_t>(value);
 }
 
-std::optional<std::vector<std::byte>> key_bytes(const std::string& text)
+std::optional<std::vector<std::byte>> parse_key_bytes(const std::string& text)
 {
     if (text.size() < min_hex_digits || text.size() > max_hex_digits)
         return std::nullopt;
-    std::string raw;
+    std::string decoded;
     try
     {
-        boost::algorithm::unhex(text, std::back_inserter(raw));
+        boost::algorithm::unhex(text, std::back_inserter(decoded));
     }
     catch (const boost::algorithm::hex_decode_error&)
     {
         return std::nullopt;
     }
-    const auto* first = reinterpret_cast<const std::byte*>(raw.data());
-    return std::vector<std::byte>(first, first + raw.size());
+    const auto* begin = reinterpret_cast<const std::byte*>(decoded.data());
+    return std::vector<std::byte>(begin, begin + decoded.size());
 }
 
-mac_key_error
-problem(std::string_view path, std::string_view key, std::string_view expected)
+mac_key_error make_error(
+    std::string_view path, std::string_view key, std::string_view expected)
 {
     std::string text(path);
     text.append(": [keys] ").append(key).append(": ").append(expected);
@@ -62,20 +62,21 @@
     {
         if (name == "current")
             continue;
-        const auto number = key_number(name);
+        const auto number = parse_key_number(name);
         if (!number)
             return boost::leaf::new_error(
-                problem(path, name, "expected a number from 1 to 255"));
-        auto bytes = key_bytes(value.data());
+                make_error(path, name, "expected a number from 1 to 255"));
+        auto bytes = parse_key_bytes(value.data());
         if (!bytes)
             return boost::leaf::new_error(
-                problem(path, name, "expected 32 to 128 hex digits"));
+                make_error(path, name, "expected 32 to 128 hex digits"));
         result.keys.emplace(*number, std::move(*bytes));
     }
-    const auto current = key_number(section.get<std::string>("current", ""));
+    const auto current =
+        parse_key_number(section.get<std::string>("current", ""));
     if (!current || !result.keys.contains(*current))
         return boost::leaf::new_error(
-            problem(path, "current", "expected the number of a listed key"));
+            make_error(path, "current", "expected the number of a listed key"));
     result.current = *current;
     return result;
 }
@@ -103,7 +104,7 @@
     const auto section = tree.get_child_optional("keys");
     if (!section)
         return boost::leaf::new_error(
-            problem(path, "(section)", "it is missing"));
+            make_error(path, "(section)", "not found in the file"));
     return read_keys(path, *section);
 }
 
--- a/src/adapters/peers/udp_peers.cpp
+++ b/src/adapters/peers/udp_peers.cpp
@@ -24,16 +24,16 @@
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos)
         return std::nullopt;
-    boost::system::error_code failed;
+    boost::system::error_code error;
     const auto host = boost::asio::ip::make_address(
-        std::string(text.substr(0, colon)), failed);
-    if (failed)
+        std::string(text.substr(0, colon)), error);
+    if (error)
         return std::nullopt;
     std::uint16_t port = 0;
     const char* const first = text.data() + colon + 1;
     const char* const last = text.data() + text.size();
-    const auto [rest, error] = std::from_chars(first, last, port);
-    if (error != std::errc() || rest != last)
+    const auto [rest, port_error] = std::from_chars(first, last, port);
+    if (port_error != std::errc() || rest != last)
         return std::nullopt;
     return udp::endpoint(host, port);
 }
@@ -72,9 +72,9 @@
 {
     this->listener = &receiver;
     this->receive();
-    this->arm_tick();
+    this->schedule_tick();
     if (!this->settings.mac_key_file.empty())
-        this->arm_reload();
+        this->schedule_key_reload();
 }
 
 void udp_peers::stop()
@@ -88,7 +88,7 @@
 
 const udp_peers::counters& udp_peers::traffic() const
 {
-    return this->wire;
+    return this->traffic_counters;
 }
 
 void udp_peers::sessions_changed(
@@ -107,7 +107,7 @@
             });
     };
     std::erase_if(
-        this->windows,
+        this->replay_windows,
         [&](const auto& entry)
         {
             return !is_member(entry.first);
@@ -119,16 +119,16 @@
 void udp_peers::send_demand(
     session_id to,
     std::string_view /*peer_address*/,
-    const servable_demand& what)
+    const servable_demand& demand)
 {
-    this->members.send_demand(to, what);
+    this->members.send_demand(to, demand);
     this->flush();
 }
 
 void udp_peers::send_visit(
-    session_id to, std::string_view /*peer_address*/, const caller_visit& what)
+    session_id to, std::string_view /*peer_address*/, const caller_visit& visit)
 {
-    this->members.send_visit(to, what);
+    this->members.send_visit(to, visit);
     this->flush();
 }
 
@@ -137,22 +137,22 @@
     this->socket.async_receive_from(
         boost::asio::buffer(this->buffer),
         this->sender,
-        [this](boost::system::error_code failed, std::size_t bytes)
+        [this](boost::system::error_code error, std::size_t bytes)
         {
             if (this->listener == nullptr)
                 return;
-            // An ICMP answer to an earlier send ends up here: keep reading.
-            if (!failed)
-                this->received(bytes);
+            // An ICMP error for an earlier send is reported here. Keep reading.
+            if (!error)
+                this->handle_datagram(bytes);
             if (this->listener != nullptr)
                 this->receive();
         });
 }
 
-void udp_peers::received(std::size_t bytes)
+void udp_peers::handle_datagram(std::size_t bytes)
 {
-    ++this->wire.datagrams_received;
-    this->wire.bytes_received += bytes;
+    ++this->traffic_counters.datagrams_received;
+    this->traffic_counters.bytes_received += bytes;
     const auto opened = this->sealer.open(
         std::span<const std::byte>(this->buffer).first(bytes));
     if (!opened)
@@ -178,11 +178,12 @@
     }
     if (!this->members.state_of(message->from))
     {
-        // Usual for a moment when a router joins or leaves: no line.
-        ++this->wire.rejected;
+        // No event, because this is usual for a short time when a router joins
+        // or leaves.
+        ++this->traffic_counters.rejected;
         return;
     }
-    if (this->is_repeated(message->from, opened->counter))
+    if (this->is_replay(message->from, opened->counter))
     {
         this->reject("repeated");
         return;
@@ -191,24 +192,26 @@
     this->flush();
 }
 
-bool udp_peers::is_repeated(session_id from, std::uint64_t counter)
+bool udp_peers::is_replay(session_id from, std::uint64_t counter)
 {
-    return !this->windows[from].accept(counter);
+    return !this->replay_windows[from].accept(counter);
 }
 
 void udp_peers::reject(std::string_view cause)
 {
-    ++this->wire.rejected;
-    ++this->untold;
+    ++this->traffic_counters.rejected;
+    ++this->unreported_rejections;
     const instant now = this->clock.now();
-    if (now < this->next_report)
+    if (now < this->next_rejection_report)
         return;
     const std::string from = to_text(this->sender);
     this->events.report(
         event_id::datagram_rejected,
-        {{"address", from}, {"reason", cause}, {"count", this->untold}});
-    this->untold = 0;
-    this->next_report = now + report_interval;
+        {{"address", from},
+         {"reason", cause},
+         {"count", this->unreported_rejections}});
+    this->unreported_rejections = 0;
+    this->next_rejection_report = now + rejection_report_interval;
 }
 
 void udp_peers::send(const membership::outgoing& item)
@@ -217,13 +220,13 @@
     if (!endpoint)
         return;
     const auto datagram = this->sealer.seal(encode(item.message));
-    boost::system::error_code failed;
-    // Datagrams are hints: one that can't be sent now is lost.
-    this->socket.send_to(boost::asio::buffer(datagram), *endpoint, 0, failed);
-    if (failed)
+    boost::system::error_code error;
+    // All messages are hints, so a failed send isn't repeated.
+    this->socket.send_to(boost::asio::buffer(datagram), *endpoint, 0, error);
+    if (error)
         return;
-    ++this->wire.datagrams_sent;
-    this->wire.bytes_sent += datagram.size();
+    ++this->traffic_counters.datagrams_sent;
+    this->traffic_counters.bytes_sent += datagram.size();
 }
 
 void udp_peers::flush()
@@ -232,35 +235,35 @@
         this->send(item);
     if (this->listener == nullptr)
         return;
-    for (const servable_demand& what : this->members.take_demands())
-        this->listener->demand_heard(what);
-    for (const caller_visit& what : this->members.take_visits())
-        this->listener->visit_heard(what);
+    for (const servable_demand& demand : this->members.take_demands())
+        this->listener->demand_heard(demand);
+    for (const caller_visit& visit : this->members.take_visits())
+        this->listener->visit_heard(visit);
     if (this->members.take_changed())
-        this->tell_listener();
+        this->notify_listener();
 }
 
-void udp_peers::tell_listener()
+void udp_peers::notify_listener()
 {
     const auto alive = this->members.alive();
     for (session_id session : alive)
     {
-        if (!std::ranges::binary_search(this->told, session))
+        if (!std::ranges::binary_search(this->reported_alive, session))
             this->report_change(session, liveness::alive);
     }
-    for (session_id session : this->told)
+    for (session_id session : this->reported_alive)
     {
         if (!std::ranges::binary_search(alive, session))
             this->report_change(session, liveness::dead);
     }
-    this->told = alive;
+    this->reported_alive = alive;
     this->listener->peers_alive(alive);
 }
 
 void udp_peers::report_change(session_id session, liveness state)
 {
-    const bool gone = state == liveness::dead;
-    if (gone)
+    const bool is_gone = state == liveness::dead;
+    if (is_gone)
         this->events.report(
             event_id::peer_gone,
             {{"session", session.value},
@@ -270,11 +273,13 @@
             event_id::peer_joined, {{"session", session.value}});
 }
 
-void udp_peers::arm_tick()
+void udp_peers::schedule_tick()
 {
-    // Sessions may arrive between ticks: look at least each ack timeout.
-    const instant soon = this->clock.now() + this->settings.probing.ack_timeout;
-    const instant due = std::min(soon, this->members.next_tick());
+    // Sessions may be added between ticks, so tick at least once per
+    // acknowledgement timeout.
+    const instant latest =
+        this->clock.now() + this->settings.probing.ack_timeout;
+    const instant due = std::min(latest, this->members.next_tick());
     const duration wait = std::max(due - this->clock.now(), duration(1000));
     this->tick_timer.expires_after(wait);
     this->tick_timer.async_wait(
@@ -284,20 +289,20 @@
                 return;
             this->members.tick(this->clock.now());
             this->flush();
-            this->arm_tick();
+            this->schedule_tick();
         });
 }
 
-void udp_peers::arm_reload()
+void udp_peers::schedule_key_reload()
 {
-    this->reload_timer.expires_after(this->settings.key_reload);
+    this->reload_timer.expires_after(this->settings.key_reload_interval);
     this->reload_timer.async_wait(
         [this](boost::system::error_code cancelled)
         {
             if (cancelled || this->listener == nullptr)
                 return;
             this->reload_keys();
-            this->arm_reload();
+            this->schedule_key_reload();
         });
 }
 
@@ -305,7 +310,7 @@
 {
     if (this->settings.mac_key_file.empty())
         return;
-    // A file that can't be read leaves the keys in force as they are.
+    // If the file can't be read, the current keys stay in use.
     boost::leaf::try_handle_all(
         [&]() -> boost::leaf::result<void>
         {
--- a/src/adapters/peers/udp_peers.hpp
+++ b/src/adapters/peers/udp_peers.hpp
@@ -25,12 +25,14 @@
 namespace roseworks
 {
 
-/** Datagrams between routers: sealed UDP around the `membership` core.
-
-    Hints only. Runs on the control thread's io_context. A datagram that can't
-    be authenticated, is repeated, or isn't a message is counted, told of in an
-    event every ten seconds, and dropped. So is, without an event, one of a
-    session that isn't running as far as the log is read.
+/** Sends and receives the messages of the `membership` core as authenticated
+    UDP datagrams.
+
+    All messages are hints. Runs on the control thread's io_context. A datagram
+    that can't be authenticated, is malformed or is repeated is dropped and
+    counted, and at most one event every ten seconds reports such datagrams. A
+    datagram of a session that isn't running according to the log as read so far
+    is dropped and counted without an event.
 */
 class udp_peers : public peer_port
 {
@@ -38,15 +40,15 @@
     struct options
     {
         boost::asio::ip::udp::endpoint listen;
-        /// Key file; empty: datagrams are checked for damage only.
+        /// Key file. If empty, datagrams are only checked for damage.
         std::string mac_key_file;
-        /// Higher than the counters of this VM's earlier processes.
+        /// Has to be higher than the counters of this VM's earlier processes.
         std::uint64_t first_counter = 0;
-        duration key_reload = std::chrono::seconds(5);
+        duration key_reload_interval = std::chrono::seconds(5);
         membership::options probing;
     };
 
-    /// What went over the wire; the bytes may be read from any thread.
+    /// Traffic counters. Only the byte counts may be read from any thread.
     struct counters
     {
         std::uint64_t datagrams_sent = 0;
@@ -56,14 +58,14 @@
         std::uint64_t rejected = 0;
     };
 
-    /** Bind the socket.
+    /** Binds the socket.
 
-        @param context  The control thread's.
-        @param keys     Keys to begin with.
+        @param context  The control thread's context.
+        @param keys     Initial keys.
         @param settings Options.
-        @param clock    Monotonic time.
-        @param events   Receives peer and datagram events.
-        @throws boost::system::system_error when the address can't be bound.
+        @param clock    Monotonic clock.
+        @param events   Receives events about peers and rejected datagrams.
+        @throws boost::system::system_error if the address can't be bound.
     */
     udp_peers(
         boost::asio::io_context& context,
@@ -79,34 +81,35 @@
     void send_demand(
         session_id to,
         std::string_view peer_address,
-        const servable_demand& what) override;
+        const servable_demand& demand) override;
     void send_visit(
         session_id to,
         std::string_view peer_address,
-        const caller_visit& what) override;
+        const caller_visit& visit) override;
     void stop() override;
 
     const counters& traffic() const;
 
-    /// Reads the file of keys now; without one, does nothing.
+    /// Reloads the key file now. Does nothing if there is none.
     void reload_keys();
 
 private:
     static constexpr std::size_t max_datagram_bytes = 2048;
-    /// At most one event of rejected datagrams in this time: rubbish costs its
-    /// sender nothing.
-    static constexpr duration report_interval = std::chrono::seconds(10);
+    /// Minimum interval between two events about rejected datagrams. It limits
+    /// the log's growth, because invalid datagrams cost their sender nothing.
+    static constexpr duration rejection_report_interval =
+        std::chrono::seconds(10);
 
     void receive();
-    void received(std::size_t bytes);
+    void handle_datagram(std::size_t bytes);
     void reject(std::string_view cause);
-    bool is_repeated(session_id from, std::uint64_t counter);
+    bool is_replay(session_id from, std::uint64_t counter);
     void flush();
     void send(const membership::outgoing& item);
-    void tell_listener();
+    void notify_listener();
     void report_change(session_id session, liveness state);
-    void arm_tick();
-    void arm_reload();
+    void schedule_tick();
+    void schedule_key_reload();
 
     options settings;
     const clock_port& clock;
@@ -118,12 +121,12 @@
     boost::asio::steady_timer reload_timer;
     boost::asio::ip::udp::endpoint sender;
     std::array<std::byte, max_datagram_bytes> buffer{};
-    std::map<session_id, replay_window> windows;
-    std::vector<session_id> told;
+    std::map<session_id, replay_window> replay_windows;
+    std::vector<session_id> reported_alive; ///< live sessions, as last reported
     peer_listener* listener = nullptr;
-    counters wire;
-    std::uint64_t untold = 0; ///< rejected since the last event
-    instant next_report{};
+    counters traffic_counters;
+    std::uint64_t unreported_rejections = 0; ///< since the last event
+    instant next_rejection_report{};
 };
 
 } // namespace roseworks
--- a/src/adapters/peers/word_archive.hpp
+++ b/src/adapters/peers/word_archive.hpp
@@ -14,39 +14,40 @@
 namespace roseworks
 {
 
-/** Reads what `cereal::PortableBinaryOutputArchive` wrote on a machine of the
-    same byte order, from one datagram.
+/** Reads one message that `cereal::PortableBinaryOutputArchive` wrote on a
+    machine with the same byte order.
 
-    A length that the rest of the datagram can't hold is an error before memory
-    is taken for it: cereal's own archive takes whatever a forged word names.
+    Rejects a length greater than the number of remaining bytes before it
+    allocates memory. cereal's own input archive allocates any length that a
+    forged message claims.
 */
 class word_archive
     : public cereal::InputArchive<word_archive, cereal::AllowEmptyClassElision>
 {
 public:
-    /// @param word Borrowed; has to outlive the archive.
-    /// @throws cereal::Exception when it isn't a word of this byte order.
-    explicit word_archive(std::string_view word)
+    /// @param message Not copied; has to outlive the archive.
+    /// @throws cereal::Exception if the message has another byte order.
+    explicit word_archive(std::string_view message)
         : InputArchive<word_archive, cereal::AllowEmptyClassElision>(this)
-        , rest(word)
+        , rest(message)
     {
         std::uint8_t is_little = 0;
         this->read(&is_little, sizeof(is_little));
         constexpr bool little = std::endian::native == std::endian::little;
         if (is_little != (little ? 1 : 0))
-            throw cereal::Exception("another byte order");
+            throw cereal::Exception("message has another byte order");
     }
 
-    /// @throws cereal::Exception when the word is shorter.
-    void read(void* into, std::size_t size)
+    /// @throws cereal::Exception if fewer bytes are left.
+    void read(void* target, std::size_t size)
     {
         if (size > this->rest.size())
-            throw cereal::Exception("the word is too short");
-        std::memcpy(into, this->rest.data(), size);
+            throw cereal::Exception("message is truncated");
+        std::memcpy(target, this->rest.data(), size);
         this->rest.remove_prefix(size);
     }
 
-    std::size_t left() const
+    std::size_t remaining() const
     {
         return this->rest.size();
     }
@@ -62,12 +63,13 @@
     archive.read(&value, sizeof(value));
 }
 
-/// Any byte but 0 is true: another one isn't a value of the type.
+/// Reads any byte other than 0 as true, because a `bool` with another
+/// representation would be undefined behaviour.
 inline void CEREAL_LOAD_FUNCTION_NAME(word_archive& archive, bool& value)
 {
-    std::uint8_t byte = 0;
-    archive.read(&byte, sizeof(byte));
-    value = byte != 0;
+    std::uint8_t value_byte = 0;
+    archive.read(&value_byte, sizeof(value_byte));
+    value = value_byte != 0;
 }
 
 template <class T>
@@ -77,14 +79,15 @@
     archive(pair.value);
 }
 
-/// Each element takes a byte at least.
+/// Rejects more elements than bytes are left; each element takes at least one
+/// byte.
 template <class T>
 void CEREAL_LOAD_FUNCTION_NAME(
     word_archive& archive, cereal::SizeTag<T>& length)
 {
     archive(length.size);
-    if (length.size > archive.left())
-        throw cereal::Exception("a length beyond the word's end");
+    if (length.size > archive.remaining())
+        throw cereal::Exception("length exceeds the end of the message");
 }
 
 template <class T>
--- a/src/adapters/peers/word_frame.hpp
+++ b/src/adapters/peers/word_frame.hpp
@@ -11,24 +11,24 @@
 namespace roseworks::peers
 {
 
-/// A checksum of what follows it is the first of a word's bytes.
+/// Size of the checksum that precedes the content of a message.
 inline constexpr std::size_t checksum_bytes = 8;
 
-/// @return The content behind its checksum.
-std::string seal(std::string_view content);
+/// @return The content, preceded by its checksum.
+std::string add_checksum(std::string_view content);
 
-/// @return The content; empty when the checksum isn't its own, or when there
-///         is none.
-std::optional<std::string_view> unseal(std::string_view sealed);
+/// @return The content, or empty if the checksum doesn't match or there is no
+///         content.
+std::optional<std::string_view> remove_checksum(std::string_view frame);
 
-/// @return A word as cereal writes it.
-template <class Word>
-std::string to_archive(const Word& word)
+/// @return The message as a cereal archive.
+template <class Message>
+std::string serialise(const Message& message)
 {
     std::ostringstream out;
     {
         cereal::PortableBinaryOutputArchive archive(out);
-        archive(word);
+        archive(message);
     }
     return out.str();
 }
--- a/tests/unit/peers/peers_test.cpp
+++ b/tests/unit/peers/peers_test.cpp
@@ -24,7 +24,7 @@
 
 namespace asio = boost::asio;
 
-class steady_clock_fake : public clock_port
+class fake_clock : public clock_port
 {
 public:
     instant now() const override
@@ -43,7 +43,7 @@
     std::optional<instant> frozen;
 };
 
-class counting_sink : public event_sink
+class rejection_counter : public event_sink
 {
 public:
     void emit(const event_record& event) noexcept override
@@ -53,24 +53,24 @@
         ++this->rejected;
         for (const event_field& field : event.fields)
             if (field.name == "count")
-                this->counted += std::get<std::int64_t>(field.value);
+                this->reported += std::get<std::int64_t>(field.value);
     }
 
     int rejected = 0;
-    std::int64_t counted = 0; ///< datagrams that the events told of
+    std::int64_t reported = 0; ///< rejected datagrams according to the events
 };
 
-class recorder : public peer_listener
+class recording_listener : public peer_listener
 {
 public:
-    void visit_heard(const caller_visit& what) override
+    void visit_heard(const caller_visit& visit) override
     {
-        this->visits.push_back(what);
+        this->visits.push_back(visit);
     }
 
-    void demand_heard(const servable_demand& what) override
+    void demand_heard(const servable_demand& demand) override
     {
-        this->demands.push_back(what);
+        this->demands.push_back(demand);
     }
 
     void peers_alive(std::span<const session_id> alive) override
@@ -83,7 +83,7 @@
     std::size_t alive = 0;
 };
 
-mac_keys keys_of(std::uint8_t current, std::vector<std::uint8_t> numbers)
+mac_keys make_keys(std::uint8_t current, std::vector<std::uint8_t> numbers)
 {
     mac_keys keys;
     keys.current = current;
@@ -103,16 +103,16 @@
               this->clock,
               this->events)
     {
-        this->peers.start(this->heard);
+        this->peers.start(this->listener);
     }
 
-    steady_clock_fake clock;
-    counting_sink events;
-    recorder heard;
+    fake_clock clock;
+    rejection_counter events;
+    recording_listener listener;
     udp_peers peers;
 };
 
-void introduce(node& a, node& b)
+void make_members(node& a, node& b)
 {
     const std::vector<peer_session> list{
         {session_id(1), "a", "dc", a.peers.address()},
@@ -121,7 +121,7 @@
     b.peers.sessions_changed(session_id(2), list);
 }
 
-/// Runs until the condition holds; a generous limit ends a hang.
+/// Runs until the condition holds, for at most 30 s.
 bool run_until(asio::io_context& context, const std::function<bool()>& holds)
 {
     const auto limit = std::chrono::steady_clock::now() + 30s;
@@ -130,7 +130,7 @@
     return holds();
 }
 
-/// Sends datagrams to a node, each read before the next.
+/// Sends datagrams to a node and waits until each one is received.
 class sender
 {
 public:
@@ -165,7 +165,7 @@
     asio::ip::udp::socket socket;
 };
 
-std::string written(const std::string& name, const std::string& text)
+std::string write_file(const std::string& name, const std::string& text)
 {
     const auto path = std::filesystem::temp_directory_path() /
                       (name + std::to_string(getpid()));
@@ -173,7 +173,7 @@
     return path.string();
 }
 
-std::string load_problem(const std::string& path)
+std::string load_error(const std::string& path)
 {
     return boost::leaf::try_handle_all(
         [&]() -> boost::leaf::result<std::string>
@@ -193,10 +193,10 @@
 
 } // namespace
 
-Test(datagram_seal, opens_what_a_shared_key_sealed)
+Test(datagram_seal, opens_a_datagram_sealed_with_a_shared_key)
 {
-    datagram_seal sender(keys_of(1, {1}), 5);
-    const datagram_seal receiver(keys_of(2, {1, 2}), 0);
+    datagram_seal sender(make_keys(1, {1}), 5);
+    const datagram_seal receiver(make_keys(2, {1, 2}), 0);
     const std::vector<std::byte> content(40, std::byte(7));
     const auto datagram = sender.seal(content);
     cr_assert_eq(datagram.size(), content.size() + datagram_seal::overhead);
@@ -206,12 +206,12 @@
     cr_assert(std::ranges::equal(opened->content, content));
 }
 
-Test(datagram_seal, refuses_any_changed_byte_and_unknown_keys)
+Test(datagram_seal, rejects_changed_or_truncated_datagrams_and_unknown_keys)
 {
-    datagram_seal sender(keys_of(1, {1}), 5);
-    const datagram_seal stranger(keys_of(2, {2}), 0);
+    datagram_seal sender(make_keys(1, {1}), 5);
+    const datagram_seal other_receiver(make_keys(2, {2}), 0);
     const auto datagram = sender.seal(std::vector<std::byte>(10));
-    cr_assert_not(stranger.open(datagram).has_value());
+    cr_assert_not(other_receiver.open(datagram).has_value());
     for (std::size_t i = 0; i < datagram.size(); ++i)
     {
         auto changed = datagram;
@@ -220,8 +220,8 @@
     }
     for (std::size_t size = 0; size < datagram.size(); ++size)
     {
-        const auto cut = std::span(datagram).first(size);
-        cr_assert_not(sender.open(cut).has_value());
+        const auto truncated = std::span(datagram).first(size);
+        cr_assert_not(sender.open(truncated).has_value());
     }
 }
 
@@ -234,31 +234,31 @@
     cr_assert_not(window.accept(100));
     cr_assert(window.accept(163));
     cr_assert_not(window.accept(100));
-    cr_assert_not(window.accept(99), "too old to be told from a repeat");
+    cr_assert_not(window.accept(99), "too old to tell whether it was seen");
     cr_assert(window.accept(101));
 }
 
-Test(mac_keys, names_file_section_and_key)
+Test(mac_keys, error_names_file_section_and_key)
 {
-    const auto good = written(
+    const auto good = write_file(
         "keys-good",
         "[keys]\ncurrent = 2\n2 = 00112233445566778899aabbccddeeff\n");
-    const auto bad = written("keys-bad", "[keys]\ncurrent = 3\n3 = xyz\n");
-    cr_assert_str_empty(load_problem(good).c_str());
-    const std::string problem = load_problem(bad);
-    cr_assert_neq(problem.find(bad), std::string::npos);
-    cr_assert_neq(problem.find("[keys] 3"), std::string::npos);
-    cr_assert_neq(problem.find("32 to 128 hex digits"), std::string::npos);
+    const auto bad = write_file("keys-bad", "[keys]\ncurrent = 3\n3 = xyz\n");
+    cr_assert_str_empty(load_error(good).c_str());
+    const std::string error_text = load_error(bad);
+    cr_assert_neq(error_text.find(bad), std::string::npos);
+    cr_assert_neq(error_text.find("[keys] 3"), std::string::npos);
+    cr_assert_neq(error_text.find("32 to 128 hex digits"), std::string::npos);
     std::filesystem::remove(good);
     std::filesystem::remove(bad);
 }
 
-Test(udp_peers, demand_arrives_and_members_see_each_other)
+Test(udp_peers, demands_and_visits_arrive_and_members_are_alive)
 {
     asio::io_context context;
-    node a(context, keys_of(1, {1}));
-    node b(context, keys_of(1, {1}));
-    introduce(a, b);
+    node a(context, make_keys(1, {1}));
+    node b(context, make_keys(1, {1}));
+    make_members(a, b);
     servable_demand wanted;
     wanted.servable = servable_id(3);
     wanted.waiting = 4;
@@ -267,27 +267,27 @@
         context,
         [&]
         {
-            return !b.heard.demands.empty();
+            return !b.listener.demands.empty();
         }));
-    cr_assert_eq(b.heard.demands[0].waiting, 4U);
-    cr_assert(b.heard.demands[0].from == session_id(1));
-    cr_assert_eq(a.heard.alive, 2U);
+    cr_assert_eq(b.listener.demands[0].waiting, 4U);
+    cr_assert(b.listener.demands[0].from == session_id(1));
+    cr_assert_eq(a.listener.alive, 2U);
     a.peers.send_visit(session_id(2), "", {servable_id(3), 9});
     cr_assert(run_until(
         context,
         [&]
         {
-            return !b.heard.visits.empty();
+            return !b.listener.visits.empty();
         }));
-    cr_assert_eq(b.heard.visits[0].caller, 9U);
+    cr_assert_eq(b.listener.visits[0].caller, 9U);
 }
 
-Test(udp_peers, wrong_key_is_rejected_and_counted)
+Test(udp_peers, datagram_with_an_unknown_key_is_rejected)
 {
     asio::io_context context;
-    node a(context, keys_of(1, {1}));
-    node b(context, keys_of(2, {2}));
-    introduce(a, b);
+    node a(context, make_keys(1, {1}));
+    node b(context, make_keys(2, {2}));
+    make_members(a, b);
     a.peers.send_demand(session_id(2), "", servable_demand{servable_id(3)});
     cr_assert(run_until(
         context,
@@ -295,18 +295,18 @@
         {
             return b.events.rejected > 0;
         }));
-    cr_assert(b.heard.demands.empty());
+    cr_assert(b.listener.demands.empty());
 }
 
 Test(udp_peers, repeated_datagram_is_rejected)
 {
     asio::io_context context;
-    node b(context, keys_of(1, {1}));
+    node b(context, make_keys(1, {1}));
     const std::vector<peer_session> list{
         {session_id(1), "a", "dc", "127.0.0.1:9"},
         {session_id(2), "b", "dc", b.peers.address()}};
     b.peers.sessions_changed(session_id(2), list);
-    datagram_seal sealer(keys_of(1, {1}), 50);
+    datagram_seal sealer(make_keys(1, {1}), 50);
     const auto datagram = sealer.seal(
         encode({session_id(1), servable_demand{servable_id(3)}, {}}));
     asio::ip::udp::socket socket(
@@ -323,40 +323,42 @@
         {
             return b.events.rejected > 0;
         }));
-    cr_assert_eq(b.heard.demands.size(), 1U);
+    cr_assert_eq(b.listener.demands.size(), 1U);
 }
 
 Test(udp_peers, datagrams_of_unknown_sessions_are_dropped_and_counted)
 {
     asio::io_context context;
-    node b(context, keys_of(1, {1}));
+    node b(context, make_keys(1, {1}));
     const std::vector<peer_session> list{
         {session_id(1), "a", "dc", "127.0.0.1:9"},
         {session_id(2), "b", "dc", b.peers.address()}};
     b.peers.sessions_changed(session_id(2), list);
-    datagram_seal sealer(keys_of(1, {1}), 50);
+    datagram_seal sealer(make_keys(1, {1}), 50);
     const auto datagram = sealer.seal(
         encode({session_id(7), servable_demand{servable_id(3)}, {}}));
-    sender outside(context, b);
+    sender other_sender(context, b);
     for (int i = 0; i < 5; ++i)
-        outside.send(datagram);
-    cr_assert(b.heard.demands.empty());
+        other_sender.send(datagram);
+    cr_assert(b.listener.demands.empty());
     cr_assert_eq(b.peers.traffic().rejected, 5U);
 }
 
-Test(udp_peers, rubbish_writes_few_lines_and_is_counted_in_full)
+/// Guards against a log that grows with each invalid datagram that anybody
+/// sends.
+Test(udp_peers, invalid_datagrams_cause_few_events_and_are_all_counted)
 {
     asio::io_context context;
-    node b(context, keys_of(1, {1}));
+    node b(context, make_keys(1, {1}));
     b.clock.frozen = instant(1h);
-    sender outside(context, b);
-    const std::vector<std::byte> rubbish(64, std::byte(9));
+    sender other_sender(context, b);
+    const std::vector<std::byte> invalid_datagram(64, std::byte(9));
     for (int i = 0; i < 500; ++i)
-        outside.send(rubbish);
+        other_sender.send(invalid_datagram);
     cr_assert_eq(b.events.rejected, 1);
     cr_assert_eq(b.peers.traffic().rejected, 500U);
     *b.clock.frozen += 1min;
-    outside.send(rubbish);
+    other_sender.send(invalid_datagram);
     cr_assert_eq(b.events.rejected, 2);
-    cr_assert_eq(b.events.counted, 501);
+    cr_assert_eq(b.events.reported, 501);
 }
