--- a/src/adapters/log/http_log_client.cpp
+++ b/src/adapters/log/http_log_client.cpp
@@ -31,8 +31,8 @@
 namespace
 {
 
-/// A poll that runs this far over its wait has lost its connection.
-constexpr std::chrono::milliseconds poll_grace{2000};
+/// A long poll that exceeds its wait by this time has lost its connection.
+constexpr std::chrono::milliseconds poll_timeout_margin{2000};
 
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_gone = 410;
@@ -49,7 +49,8 @@
     return result;
 }
 
-/// @return A positive offset of the JSON object, 0 when there is none.
+/// @return The field of a JSON object, or 0 if the body or the field is
+/// invalid.
 log_offset offset_field(const std::string& body, std::string_view name)
 {
     json::error_code error;
@@ -79,23 +80,23 @@
 } // namespace
 
 http_log_client::http_log_client(
-    asio::any_io_executor on,
+    asio::any_io_executor executor,
     asio::ip::tcp::endpoint server,
-    const options& wanted,
+    const options& settings,
     platform::byte_meter& meter)
-    : executor(on)
-    , settings(wanted)
-    , reads(on, server, connection_options(wanted), meter)
-    , appends(on, server, connection_options(wanted), meter)
-    , delays(wanted.retry_min, wanted.retry_max, wanted.seed)
-    , pause_timer(on)
-    , gather_timer(on)
+    : executor(executor)
+    , settings(settings)
+    , read_client(executor, server, connection_options(settings), meter)
+    , append_client(executor, server, connection_options(settings), meter)
+    , retry_delays(settings.retry_min, settings.retry_max, settings.seed)
+    , retry_timer(executor)
+    , pacing_timer(executor)
 {
 }
 
-void http_log_client::start(log_listener& wanted)
+void http_log_client::start(log_listener& receiver)
 {
-    this->listener = &wanted;
+    this->listener = &receiver;
     asio::co_spawn(this->executor, this->tail(), platform::rethrow);
 }
 
@@ -103,61 +104,63 @@
 {
     ++this->generation;
     this->next_read = from;
-    this->reads.break_connections();
-    this->pause_timer.cancel();
-    this->gather_timer.cancel();
+    this->read_client.break_connections();
+    this->retry_timer.cancel();
+    this->pacing_timer.cancel();
 }
 
 void http_log_client::hurry()
 {
-    this->hurry_until = std::chrono::steady_clock::now() + this->settings.hurry;
-    this->gather_timer.cancel();
+    this->urgent_until =
+        std::chrono::steady_clock::now() + this->settings.urgent_period;
+    this->pacing_timer.cancel();
 }
 
 void http_log_client::append(append_batch batch)
 {
-    this->waiting.push_back(std::move(batch));
-    this->gather_timer.cancel();
-    if (this->appending || this->stopped)
+    this->pending_appends.push_back(std::move(batch));
+    this->pacing_timer.cancel();
+    if (this->is_appending || this->is_stopped)
         return;
-    this->appending = true;
-    asio::co_spawn(this->executor, this->append_all(), platform::rethrow);
+    this->is_appending = true;
+    asio::co_spawn(
+        this->executor, this->send_pending_appends(), platform::rethrow);
 }
 
 void http_log_client::stop()
 {
-    this->stopped = true;
-    this->waiting.clear();
-    this->pause_timer.cancel();
-    this->gather_timer.cancel();
-    this->reads.break_connections();
-    this->appends.break_connections();
+    this->is_stopped = true;
+    this->pending_appends.clear();
+    this->retry_timer.cancel();
+    this->pacing_timer.cancel();
+    this->read_client.break_connections();
+    this->append_client.break_connections();
 }
 
 asio::awaitable<void> http_log_client::tail()
 {
-    while (!this->stopped)
+    while (!this->is_stopped)
     {
-        if (!this->opened)
+        if (!this->is_status_known)
             co_await this->read_status();
         else if (!this->next_read)
-            co_await this->pause();
+            co_await this->wait_for_retry();
         else
             co_await this->read_entries();
 
-        if (this->failed && !this->stopped)
-            co_await this->pause();
-        else if (this->delivered && !this->somebody_waits())
-            co_await this->gather();
+        if (this->has_last_read_failed && !this->is_stopped)
+            co_await this->wait_for_retry();
+        else if (this->last_read_had_entries && !this->must_read_at_once())
+            co_await this->delay_next_read();
     }
 }
 
 asio::awaitable<void> http_log_client::read_status()
 {
-    const std::uint64_t started_in = this->generation;
+    const std::uint64_t started_generation = this->generation;
     const http_answer answer =
         co_await this->get("/v1/status", this->settings.append_timeout);
-    if (!this->is_current(started_in))
+    if (!this->is_current(started_generation))
         co_return;
 
     const log_offset first = offset_field(answer.body, "first_offset");
@@ -172,10 +175,11 @@
         this->fail(log_fault::malformed);
         co_return;
     }
-    this->failed = false;
-    this->delays.reset();
-    this->opened = true;
-    this->next_look = std::chrono::steady_clock::now() + this->settings.look;
+    this->has_last_read_failed = false;
+    this->retry_delays.reset();
+    this->is_status_known = true;
+    this->next_retention_check = std::chrono::steady_clock::now() +
+                                 this->settings.retention_check_interval;
     this->known_end = next;
     constexpr log_offset oldest{1};
     this->listener->log_opened(first, next, first > oldest);
@@ -183,11 +187,12 @@
 
 asio::awaitable<void> http_log_client::read_entries()
 {
-    const std::uint64_t started_in = this->generation;
-    this->delivered = false;
-    if (this->end_stale || std::chrono::steady_clock::now() >= this->next_look)
+    const std::uint64_t started_generation = this->generation;
+    this->last_read_had_entries = false;
+    if (this->is_end_stale ||
+        std::chrono::steady_clock::now() >= this->next_retention_check)
         co_await this->refresh_ends();
-    if (!this->is_current(started_in))
+    if (!this->is_current(started_generation))
         co_return;
 
     std::string target = "/v1/read?from=";
@@ -197,28 +202,29 @@
     target += "&wait_ms=";
     target += std::to_string(this->settings.poll_wait.count());
     const http_answer answer = co_await this->get(
-        std::move(target), this->settings.poll_wait + poll_grace);
-    if (!this->is_current(started_in))
+        std::move(target), this->settings.poll_wait + poll_timeout_margin);
+    if (!this->is_current(started_generation))
         co_return;
 
     if (answer.is(status_ok))
-        this->take_entries(answer.body);
+        this->handle_entries(answer.body);
     else if (answer.is(status_gone))
-        this->take_trimmed(answer.body);
+        this->handle_trimmed(answer.body);
     else
         this->fail(log_fault::unreachable);
 }
 
-/// Asks where the log begins and ends: for the lag after a full read, and now
-/// and then for what it keeps.
+/// Reads the first and the next offset of the log: after a large read to know
+/// the lag, and at regular intervals to know the oldest offset that is kept.
 asio::awaitable<void> http_log_client::refresh_ends()
 {
-    const std::uint64_t started_in = this->generation;
-    this->next_look = std::chrono::steady_clock::now() + this->settings.look;
+    const std::uint64_t started_generation = this->generation;
+    this->next_retention_check = std::chrono::steady_clock::now() +
+                                 this->settings.retention_check_interval;
     const http_answer answer =
         co_await this->get("/v1/status", this->settings.append_timeout);
-    this->end_stale = false;
-    if (!answer.is(status_ok) || !this->is_current(started_in))
+    this->is_end_stale = false;
+    if (!answer.is(status_ok) || !this->is_current(started_generation))
         co_return;
     this->known_end =
         std::max(this->known_end, offset_field(answer.body, "next_offset"));
@@ -227,70 +233,75 @@
         this->listener->log_kept(first);
 }
 
-asio::awaitable<void> http_log_client::append_all()
+asio::awaitable<void> http_log_client::send_pending_appends()
 {
-    while (!this->waiting.empty() && !this->stopped)
+    while (!this->pending_appends.empty() && !this->is_stopped)
     {
-        const append_batch batch = std::move(this->waiting.front());
-        this->waiting.pop_front();
+        const append_batch batch = std::move(this->pending_appends.front());
+        this->pending_appends.pop_front();
         http_call call;
         call.method = http::verb::post;
         call.target = "/v1/append";
         call.content_type = "application/octet-stream";
         call.body = encode_append(batch.entries);
         call.timeout = this->settings.append_timeout;
-        const http_answer answer = co_await this->appends.send(std::move(call));
-        if (this->stopped)
+        const http_answer answer =
+            co_await this->append_client.send(std::move(call));
+        if (this->is_stopped)
             break;
         const append_outcome outcome = outcome_of(answer);
         if (outcome == append_outcome::done)
-            this->note_appended(answer.body);
+            this->record_own_append(answer.body);
         this->listener->append_answered(batch.batch, outcome);
     }
-    this->appending = false;
+    this->is_appending = false;
 }
 
-/// Waits for the next delay or `tail_from`.
-asio::awaitable<void> http_log_client::pause()
+/// Waits for the next retry delay or a call of `tail_from`.
+asio::awaitable<void> http_log_client::wait_for_retry()
 {
     boost::system::error_code ignored;
-    this->pause_timer.expires_after(this->delays.next());
-    co_await this->pause_timer.async_wait(
+    this->retry_timer.expires_after(this->retry_delays.next());
+    co_await this->retry_timer.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-/// Lets entries come together, unless somebody begins to wait for them. Each
-/// read is paid with one interval, and may run ahead by the free ones.
-asio::awaitable<void> http_log_client::gather()
+/// Delays the next read so that it returns more entries. An urgent request ends
+/// the delay. Each read adds one interval to `paced_until`, which may be ahead
+/// of the clock by `burst_reads` intervals.
+asio::awaitable<void> http_log_client::delay_next_read()
 {
     const auto now = std::chrono::steady_clock::now();
-    this->paid_until = std::max(this->paid_until, now) + this->settings.gather;
+    this->paced_until =
+        std::max(this->paced_until, now) + this->settings.gather;
     const auto due =
-        this->paid_until - this->settings.free_reads * this->settings.gather;
+        this->paced_until - this->settings.burst_reads * this->settings.gather;
     if (due <= now)
         co_return;
     boost::system::error_code ignored;
-    this->gather_timer.expires_at(due);
-    co_await this->gather_timer.async_wait(
+    this->pacing_timer.expires_at(due);
+    co_await this->pacing_timer.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-bool http_log_client::somebody_waits() const
+bool http_log_client::must_read_at_once() const
 {
-    const bool behind = this->next_read < this->known_end || this->end_stale;
-    const bool own_unread = this->appending || this->next_read < this->own_end;
-    const bool hurried = std::chrono::steady_clock::now() < this->hurry_until;
-    return this->stopped || this->settings.gather.count() == 0 || behind ||
+    const bool behind = this->next_read < this->known_end || this->is_end_stale;
+    const bool own_unread =
+        this->is_appending || this->next_read < this->own_append_end;
+    const bool hurried = std::chrono::steady_clock::now() < this->urgent_until;
+    return this->is_stopped || this->settings.gather.count() == 0 || behind ||
            own_unread || hurried;
 }
 
-/// The append's entries are this router's own: they are to be read soon.
-void http_log_client::note_appended(const std::string& body)
+/// Stores the end of this router's own append, so that it is read back without
+/// delay.
+void http_log_client::record_own_append(const std::string& body)
 {
     const log_offset first = offset_field(body, "first_offset");
     const log_offset count = offset_field(body, "count");
-    this->own_end =
-        std::max(this->own_end, log_offset(first.value + count.value));
+    this->own_append_end =
+        std::max(this->own_append_end, log_offset(first.value + count.value));
 }
 
 asio::awaitable<http_answer>
@@ -299,26 +310,26 @@
     http_call call;
     call.target = std::move(target);
     call.timeout = timeout;
-    return this->reads.send(std::move(call));
+    return this->read_client.send(std::move(call));
 }
 
-bool http_log_client::is_current(std::uint64_t started_in) const
+bool http_log_client::is_current(std::uint64_t started_generation) const
 {
-    return !this->stopped && started_in == this->generation;
+    return !this->is_stopped && started_generation == this->generation;
 }
 
-void http_log_client::take_entries(const std::string& body)
+void http_log_client::handle_entries(const std::string& body)
 {
     leaf::try_handle_all(
         [&]() -> leaf::result<void>
         {
             BOOST_LEAF_AUTO(entries, parse_log_frames(body, this->next_read));
-            this->failed = false;
-            this->delays.reset();
-            this->delivered = !entries.empty();
+            this->has_last_read_failed = false;
+            this->retry_delays.reset();
+            this->last_read_had_entries = !entries.empty();
             this->next_read.value += entries.size();
             this->known_end = std::max(this->known_end, this->next_read);
-            this->end_stale = body.size() >= this->settings.read_bytes / 2;
+            this->is_end_stale = body.size() >= this->settings.read_bytes / 2;
             this->listener->entries_read(std::move(entries), this->known_end);
             return {};
         },
@@ -328,7 +339,7 @@
         });
 }
 
-void http_log_client::take_trimmed(const std::string& body)
+void http_log_client::handle_trimmed(const std::string& body)
 {
     const log_offset first = offset_field(body, "first_offset");
     if (first <= this->next_read)
@@ -343,7 +354,7 @@
 
 void http_log_client::fail(log_fault fault)
 {
-    this->failed = true;
+    this->has_last_read_failed = true;
     this->listener->log_failed(fault);
 }
 
--- a/src/adapters/log/log_frames.cpp
+++ b/src/adapters/log/log_frames.cpp
@@ -18,21 +18,22 @@
 constexpr std::size_t length_bytes = sizeof(std::uint32_t);
 constexpr std::size_t header_bytes = offset_bytes + length_bytes;
 
-const unsigned char* octets(std::string_view bytes)
+const unsigned char* as_unsigned(std::string_view bytes)
 {
     return reinterpret_cast<const unsigned char*>(bytes.data());
 }
 
-std::vector<std::byte> copy_of(std::string_view bytes)
+std::vector<std::byte> to_bytes(std::string_view bytes)
 {
     std::vector<std::byte> copy(bytes.size());
     std::transform(
         bytes.begin(),
         bytes.end(),
         copy.begin(),
-        [](char octet)
+        [](char character)
         {
-            return static_cast<std::byte>(static_cast<unsigned char>(octet));
+            return static_cast<std::byte>(
+                static_cast<unsigned char>(character));
         });
     return copy;
 }
@@ -47,21 +48,25 @@
     std::size_t position = 0;
     while (position < bytes.size())
     {
-        const std::string_view rest = bytes.substr(position);
-        if (rest.size() < header_bytes)
-            return leaf::new_error(log_frame_error{"header cut", position});
+        const std::string_view remaining = bytes.substr(position);
+        if (remaining.size() < header_bytes)
+            return leaf::new_error(
+                log_frame_error{"truncated header", position});
 
-        const auto offset = endian::load_little_u64(octets(rest));
+        const auto offset = endian::load_little_u64(as_unsigned(remaining));
         if (offset != expected || offset == 0)
-            return leaf::new_error(log_frame_error{"offset gap", position});
+            return leaf::new_error(
+                log_frame_error{"unexpected offset", position});
 
         const auto length =
-            endian::load_little_u32(octets(rest) + offset_bytes);
-        if (rest.size() - header_bytes < length)
-            return leaf::new_error(log_frame_error{"entry cut", position});
+            endian::load_little_u32(as_unsigned(remaining) + offset_bytes);
+        if (remaining.size() - header_bytes < length)
+            return leaf::new_error(
+                log_frame_error{"truncated entry", position});
 
         entries.push_back(
-            {log_offset(offset), copy_of(rest.substr(header_bytes, length))});
+            {log_offset(offset),
+             to_bytes(remaining.substr(header_bytes, length))});
         position += header_bytes + length;
         ++expected;
     }
--- a/src/adapters/log/log_frames.hpp
+++ b/src/adapters/log/log_frames.hpp
@@ -14,27 +14,29 @@
 namespace roseworks::log_client
 {
 
-/// LEAF error object: bytes that aren't a run of consecutive entries.
+/// LEAF error object: the bytes aren't a sequence of consecutive entries.
 struct log_frame_error
 {
     std::string_view what;
-    std::size_t position = 0; ///< byte at which the bad frame starts
+    std::size_t position = 0; ///< byte offset of the invalid frame
 };
 
-/** Parse the answer to a read: `u64` offset, `u32` length, bytes, repeated.
+/** Parses the response to a read: repeated frames of `u64` offset, `u32` length
+    and the entry's bytes.
 
-    Never reads beyond the bytes, whatever the lengths claim, and holds no
-    more memory than the bytes plus a fixed amount an entry.
+    Never reads beyond the input, whatever the lengths claim. Allocates at most
+    the size of the input plus a fixed amount per entry.
 
-    @param bytes What was read; may be hostile.
-    @param from  The offset that was asked for; the first entry has to bear it
-                 and each further one the next.
+    @param bytes The response body; untrusted.
+    @param from  The requested offset. The first entry must have this offset,
+                 and each further entry the next one.
     @return      The entries, or a `log_frame_error`.
 */
 boost::leaf::result<std::vector<log_entry>>
 parse_log_frames(std::string_view bytes, log_offset from);
 
-/// @return The body of an append: `u32` length and bytes of each entry.
+/// @return The body of an append request: for each entry its `u32` length and
+///         its bytes.
 std::string encode_append(std::span<const std::vector<std::byte>> entries);
 
 } // namespace roseworks::log_client
--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -117,7 +117,7 @@
 
     std::deque<queued_part> queued_parts;
     boost::asio::steady_timer part_timer;
-    bool is_part_timer_running = false; ///< `part_timer` runs
+    bool is_part_timer_running = false;
 };
 
 } // namespace roseworks
--- a/tests/unit/log_client/http_log_client_test.cpp
+++ b/tests/unit/log_client/http_log_client_test.cpp
@@ -40,7 +40,7 @@
             ",\"next_offset\":" + std::to_string(next) + "}"};
 }
 
-bool asks(const scripted_server::request& request, std::string_view path)
+bool has_path(const scripted_server::request& request, std::string_view path)
 {
     const std::string target(request.target());
     return target.starts_with(path);
@@ -86,10 +86,10 @@
     std::vector<std::pair<std::uint64_t, append_outcome>> appended;
 };
 
-/// A client against a scripted log.
-struct log_bench
+/// A client of a log with scripted answers.
+struct log_client_fixture
 {
-    explicit log_bench(
+    explicit log_client_fixture(
         scripted_server::script script,
         const http_log_client::options& settings = options())
         : server(context, std::move(script))
@@ -97,7 +97,7 @@
     {
     }
 
-    ~log_bench()
+    ~log_client_fixture()
     {
         this->client.stop();
         this->server.stop();
@@ -115,7 +115,7 @@
         return result;
     }
 
-    bool until(const std::function<bool()>& condition)
+    bool wait_until(const std::function<bool()>& condition)
     {
         return run_until(this->context, condition);
     }
@@ -127,7 +127,7 @@
         batch.batch = 5;
         batch.entries = {{std::byte{1}}};
         this->client.append(std::move(batch));
-        this->until(
+        this->wait_until(
             [this]
             {
                 return !this->listener.appended.empty();
@@ -145,154 +145,160 @@
     http_log_client client;
 };
 
-std::optional<append_outcome> append_against(scripted_answer answer)
+std::optional<append_outcome> append_outcome_for(scripted_answer answer)
 {
-    log_bench bench(
+    log_client_fixture fixture(
         [answer](const scripted_server::request& request) -> scripted_answer
         {
-            if (asks(request, "/v1/append"))
+            if (has_path(request, "/v1/append"))
                 return answer;
             return {kind::hold, 200, ""};
         });
-    return bench.append();
+    return fixture.append();
 }
 
 } // namespace
 
-Test(log_client, an_append_is_done_by_a_whole_200_only)
+Test(log_client, an_append_is_done_after_a_complete_200_only)
 {
     cr_expect(
-        append_against({kind::answer, 200, "{}"}) == append_outcome::done);
+        append_outcome_for({kind::answer, 200, "{}"}) == append_outcome::done);
     cr_expect(
-        append_against({kind::cut, 200, "{}"}) == append_outcome::unknown);
+        append_outcome_for({kind::cut, 200, "{}"}) == append_outcome::unknown);
 }
 
 Test(log_client, an_append_without_an_answer_is_unknown)
 {
     cr_expect(
-        append_against({kind::close, 200, ""}) == append_outcome::unknown);
-    cr_expect(append_against({kind::hold, 200, ""}) == append_outcome::unknown);
+        append_outcome_for({kind::close, 200, ""}) == append_outcome::unknown);
     cr_expect(
-        append_against({kind::answer, 503, "{}"}) == append_outcome::unknown);
+        append_outcome_for({kind::hold, 200, ""}) == append_outcome::unknown);
     cr_expect(
-        append_against({kind::answer, 500, "{}"}) == append_outcome::unknown);
+        append_outcome_for({kind::answer, 503, "{}"}) ==
+        append_outcome::unknown);
+    cr_expect(
+        append_outcome_for({kind::answer, 500, "{}"}) ==
+        append_outcome::unknown);
 }
 
-Test(log_client, an_append_that_is_wrong_or_never_left_is_refused)
+Test(log_client, an_append_that_is_invalid_or_was_not_sent_is_refused)
 {
     cr_expect(
-        append_against({kind::answer, 400, "{}"}) == append_outcome::refused);
+        append_outcome_for({kind::answer, 400, "{}"}) ==
+        append_outcome::refused);
     cr_expect(
-        append_against({kind::answer, 413, "{}"}) == append_outcome::refused);
+        append_outcome_for({kind::answer, 413, "{}"}) ==
+        append_outcome::refused);
 
-    log_bench bench(
+    log_client_fixture fixture(
         [](const scripted_server::request&) -> scripted_answer
         {
             return {kind::hold, 200, ""};
         });
-    bench.server.stop();
-    cr_expect(bench.append() == append_outcome::refused);
+    fixture.server.stop();
+    cr_expect(fixture.append() == append_outcome::refused);
 }
 
-Test(log_client, appends_go_one_after_another_on_one_connection)
+Test(log_client, appends_are_sent_in_order_on_one_connection)
 {
-    log_bench bench(
+    log_client_fixture fixture(
         [](const scripted_server::request& request) -> scripted_answer
         {
-            if (asks(request, "/v1/append"))
+            if (has_path(request, "/v1/append"))
                 return {kind::answer, 200, "{}"};
             return {kind::hold, 200, ""};
         });
-    bench.client.start(bench.listener);
+    fixture.client.start(fixture.listener);
     for (std::uint64_t batch = 1; batch <= 3; ++batch)
-        bench.client.append({batch, {{std::byte(batch)}}});
-    cr_assert(bench.until(
+        fixture.client.append({batch, {{std::byte(batch)}}});
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return bench.listener.appended.size() == 3;
+            return fixture.listener.appended.size() == 3;
         }));
     for (std::uint64_t batch = 1; batch <= 3; ++batch)
-        cr_expect(bench.listener.appended[batch - 1].first == batch);
-    // One for the appends, one for the reads.
-    cr_expect(bench.server.connections <= 2);
+        cr_expect(fixture.listener.appended[batch - 1].first == batch);
+    // One connection for the appends and one for the reads.
+    cr_expect(fixture.server.connections <= 2);
 }
 
-Test(log_client, the_tail_goes_on_after_what_was_delivered)
+Test(log_client, reading_continues_after_the_delivered_entries)
 {
     int reads = 0;
-    log_bench bench(
+    log_client_fixture fixture(
         [&](const scripted_server::request& request) -> scripted_answer
         {
-            if (asks(request, "/v1/status"))
+            if (has_path(request, "/v1/status"))
                 return status_answer(1, 4);
             ++reads;
-            if (asks(request, "/v1/read?from=1&"))
+            if (has_path(request, "/v1/read?from=1&"))
                 return {kind::answer, 200, frame(1, "a") + frame(2, "b")};
-            if (asks(request, "/v1/read?from=3&"))
+            if (has_path(request, "/v1/read?from=3&"))
                 return {kind::answer, 200, frame(3, "c")};
             return {kind::hold, 200, ""};
         });
-    bench.client.start(bench.listener);
-    cr_assert(bench.until(
+    fixture.client.start(fixture.listener);
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return !bench.listener.opened.empty();
+            return !fixture.listener.opened.empty();
         }));
-    cr_expect(bench.listener.opened[0] == offset_pair(1, 4));
-    cr_expect(!bench.listener.was_trimmed);
-    bench.client.tail_from(log_offset(1));
-    cr_assert(bench.until(
+    cr_expect(fixture.listener.opened[0] == offset_pair(1, 4));
+    cr_expect(!fixture.listener.was_trimmed);
+    fixture.client.tail_from(log_offset(1));
+    cr_assert(fixture.wait_until(
         [&]
         {
             return reads == 3;
         }));
-    cr_expect(bench.listener.offsets == std::vector<std::uint64_t>({1, 2, 3}));
-    cr_expect(bench.listener.end == log_offset(4));
-    cr_expect(bench.listener.faults.empty());
+    cr_expect(
+        fixture.listener.offsets == std::vector<std::uint64_t>({1, 2, 3}));
+    cr_expect(fixture.listener.end == log_offset(4));
+    cr_expect(fixture.listener.faults.empty());
 }
 
-Test(log_client, what_the_log_keeps_is_looked_at_now_and_then)
+Test(log_client, the_oldest_offset_is_read_at_intervals)
 {
-    int looks = 0;
-    http_log_client::options settings = log_bench::options();
-    settings.look = 0ms;
-    log_bench bench(
+    int status_reads = 0;
+    http_log_client::options settings = log_client_fixture::options();
+    settings.retention_check_interval = 0ms;
+    log_client_fixture fixture(
         [&](const scripted_server::request& request) -> scripted_answer
         {
-            if (asks(request, "/v1/status"))
-                return status_answer(looks++ == 0 ? 1 : 2, 4);
-            if (asks(request, "/v1/read?from=3&"))
+            if (has_path(request, "/v1/status"))
+                return status_answer(status_reads++ == 0 ? 1 : 2, 4);
+            if (has_path(request, "/v1/read?from=3&"))
                 return {kind::answer, 200, frame(3, "c")};
             return {kind::hold, 200, ""};
         },
         settings);
-    bench.client.start(bench.listener);
-    bench.client.tail_from(log_offset(3));
-    cr_expect(bench.until(
+    fixture.client.start(fixture.listener);
+    fixture.client.tail_from(log_offset(3));
+    cr_expect(fixture.wait_until(
         [&]
         {
-            return bench.listener.kept == log_offset(2);
+            return fixture.listener.kept == log_offset(2);
         }));
-    cr_expect(bench.listener.faults.empty());
+    cr_expect(fixture.listener.faults.empty());
 }
 
 namespace
 {
 
-/// A log with an entry for every read, and a client that gathers for longer
-/// than any test lasts.
-struct gathering_bench : log_bench
+/// A log that returns one entry per read, and a client whose interval between
+/// reads is longer than any test.
+struct paced_log_fixture : log_client_fixture
 {
-    explicit gathering_bench(int free_reads = 0)
-        : log_bench(
+    explicit paced_log_fixture(int burst_reads = 0)
+        : log_client_fixture(
               [this](const scripted_server::request& request)
               {
-                  return this->answer_to(request);
+                  return this->make_answer(request);
               },
-              slow_options(free_reads))
+              paced_options(burst_reads))
     {
         this->client.start(this->listener);
-        this->until(
+        this->wait_until(
             [this]
             {
                 return !this->listener.opened.empty();
@@ -300,20 +306,20 @@
         this->client.tail_from(log_offset(1));
     }
 
-    static http_log_client::options slow_options(int free_reads)
+    static http_log_client::options paced_options(int burst_reads)
     {
         http_log_client::options result = options();
-        result.free_reads = free_reads;
+        result.burst_reads = burst_reads;
         result.gather = 1h;
-        result.hurry = 1h;
+        result.urgent_period = 1h;
         return result;
     }
 
-    scripted_answer answer_to(const scripted_server::request& request)
+    scripted_answer make_answer(const scripted_server::request& request)
     {
-        if (asks(request, "/v1/status"))
+        if (has_path(request, "/v1/status"))
             return status_answer(1, 3);
-        if (!asks(request, "/v1/append"))
+        if (!has_path(request, "/v1/append"))
         {
             ++this->reads;
             return {
@@ -322,21 +328,21 @@
         return {kind::answer, 200, "{\"first_offset\":5,\"count\":1}"};
     }
 
-    bool until_read(std::size_t entries)
+    bool wait_until_read(std::size_t entries)
     {
-        return this->until(
+        return this->wait_until(
             [this, entries]
             {
                 return this->listener.offsets.size() >= entries;
             });
     }
 
-    /// Lets all happen that needs no time.
-    void settle()
+    /// Runs all handlers that don't wait for a timer.
+    void run_ready_handlers()
     {
-        constexpr int enough = 2000;
+        constexpr int max_handlers = 2000;
         this->context.restart();
-        for (int i = 0; i < enough; ++i)
+        for (int i = 0; i < max_handlers; ++i)
             this->context.poll_one();
     }
 
@@ -345,45 +351,46 @@
 
 } // namespace
 
-// Up to the known end reads follow one another; after it only those that an
-// append of its own waits for, and the append's answer tells how far.
-Test(log_client, entries_are_gathered_until_an_append_of_its_own)
+// Guards against delayed reads below the known end of the log and before the
+// client's own append is read back, and against undelayed reads otherwise. The
+// append's answer contains the offset up to which reads aren't delayed.
+Test(log_client, reads_are_delayed_until_an_append_of_its_own)
 {
-    gathering_bench bench;
-    cr_assert(bench.until_read(2));
-    bench.settle();
-    cr_expect(bench.reads == 2, "%d reads", bench.reads);
-
-    bench.client.append({1, {{std::byte{1}}}});
-    cr_assert(bench.until_read(5));
-    bench.settle();
-    const int reads = bench.reads;
-    bench.settle();
-    cr_expect(bench.reads == reads, "%d reads", bench.reads);
-    cr_expect(bench.listener.appended.size() == 1);
-    cr_expect(bench.listener.faults.empty());
+    paced_log_fixture fixture;
+    cr_assert(fixture.wait_until_read(2));
+    fixture.run_ready_handlers();
+    cr_expect(fixture.reads == 2, "%d reads", fixture.reads);
+
+    fixture.client.append({1, {{std::byte{1}}}});
+    cr_assert(fixture.wait_until_read(5));
+    fixture.run_ready_handlers();
+    const int reads = fixture.reads;
+    fixture.run_ready_handlers();
+    cr_expect(fixture.reads == reads, "%d reads", fixture.reads);
+    cr_expect(fixture.listener.appended.size() == 1);
+    cr_expect(fixture.listener.faults.empty());
 }
 
-Test(log_client, the_first_reads_of_a_burst_are_free)
+Test(log_client, the_first_reads_of_a_burst_are_not_delayed)
 {
-    constexpr int free_reads = 3;
-    gathering_bench bench(free_reads);
-    cr_assert(bench.until_read(2 + free_reads));
-    bench.settle();
-    cr_expect(bench.reads == 2 + free_reads, "%d reads", bench.reads);
+    constexpr int burst_reads = 3;
+    paced_log_fixture fixture(burst_reads);
+    cr_assert(fixture.wait_until_read(2 + burst_reads));
+    fixture.run_ready_handlers();
+    cr_expect(fixture.reads == 2 + burst_reads, "%d reads", fixture.reads);
 }
 
-Test(log_client, nothing_is_gathered_while_somebody_hurries)
+Test(log_client, reads_are_not_delayed_after_an_urgent_request)
 {
-    gathering_bench bench;
-    cr_assert(bench.until_read(2));
-    bench.client.hurry();
-    cr_expect(bench.until_read(10));
+    paced_log_fixture fixture;
+    cr_assert(fixture.wait_until_read(2));
+    fixture.client.hurry();
+    cr_expect(fixture.wait_until_read(10));
 }
 
-Test(log_client, reading_resumes_after_faults_without_a_gap_or_repeat)
+Test(log_client, reading_resumes_after_faults_without_gaps_or_repeats)
 {
-    // Each fault once, then the right answer.
+    // Each fault once, then the correct answer.
     std::vector<scripted_answer> script{
         {kind::close, 200, ""},
         {kind::answer, 503, "{}"},
@@ -391,84 +398,85 @@
         {kind::cut, 200, frame(1, "a")},
         {kind::answer, 200, frame(1, "a")}};
     std::size_t next = 0;
-    log_bench bench(
+    log_client_fixture fixture(
         [&](const scripted_server::request& request) -> scripted_answer
         {
-            if (asks(request, "/v1/status"))
+            if (has_path(request, "/v1/status"))
                 return status_answer(1, 2);
             if (next < script.size())
                 return script[next++];
             return {kind::hold, 200, ""};
         });
-    bench.client.start(bench.listener);
-    cr_assert(bench.until(
+    fixture.client.start(fixture.listener);
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return !bench.listener.opened.empty();
+            return !fixture.listener.opened.empty();
         }));
-    bench.client.tail_from(log_offset(1));
-    cr_assert(bench.until(
+    fixture.client.tail_from(log_offset(1));
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return !bench.listener.offsets.empty();
+            return !fixture.listener.offsets.empty();
         }));
-    cr_expect(bench.listener.offsets == std::vector<std::uint64_t>({1}));
-    const std::vector<log_fault> wanted{
+    cr_expect(fixture.listener.offsets == std::vector<std::uint64_t>({1}));
+    const std::vector<log_fault> expected_faults{
         log_fault::unreachable,
         log_fault::unreachable,
         log_fault::malformed,
         log_fault::unreachable};
-    cr_expect(bench.listener.faults == wanted);
+    cr_expect(fixture.listener.faults == expected_faults);
 }
 
-Test(log_client, what_was_forgotten_is_told_and_waits_for_a_new_start)
+Test(
+    log_client, trimmed_entries_are_reported_and_reading_waits_for_a_new_offset)
 {
-    log_bench bench(
+    log_client_fixture fixture(
         [](const scripted_server::request& request) -> scripted_answer
         {
-            if (asks(request, "/v1/status"))
+            if (has_path(request, "/v1/status"))
                 return status_answer(1, 9);
-            if (asks(request, "/v1/read?from=1&"))
+            if (has_path(request, "/v1/read?from=1&"))
                 return {kind::answer, 410, "{\"first_offset\":8}"};
-            if (asks(request, "/v1/read?from=8&"))
+            if (has_path(request, "/v1/read?from=8&"))
                 return {kind::answer, 200, frame(8, "h")};
             return {kind::hold, 200, ""};
         });
-    bench.client.start(bench.listener);
-    cr_assert(bench.until(
+    fixture.client.start(fixture.listener);
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return !bench.listener.opened.empty();
+            return !fixture.listener.opened.empty();
         }));
-    bench.client.tail_from(log_offset(1));
-    cr_assert(bench.until(
+    fixture.client.tail_from(log_offset(1));
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return bench.listener.was_trimmed;
+            return fixture.listener.was_trimmed;
         }));
-    cr_expect(bench.listener.opened[1] == offset_pair(8, 9));
-    cr_expect(bench.listener.offsets.empty());
-    bench.client.tail_from(log_offset(8));
-    cr_assert(bench.until(
+    cr_expect(fixture.listener.opened[1] == offset_pair(8, 9));
+    cr_expect(fixture.listener.offsets.empty());
+    fixture.client.tail_from(log_offset(8));
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return !bench.listener.offsets.empty();
+            return !fixture.listener.offsets.empty();
         }));
-    cr_expect(bench.listener.offsets[0] == 8);
+    cr_expect(fixture.listener.offsets[0] == 8);
 }
 
-Test(log_client, a_log_that_has_forgotten_its_start_says_so_at_once)
+Test(log_client, a_trimmed_log_is_reported_at_the_first_status)
 {
-    log_bench bench(
+    log_client_fixture fixture(
         [](const scripted_server::request&) -> scripted_answer
         {
             return status_answer(5, 6);
         });
-    bench.client.start(bench.listener);
-    cr_assert(bench.until(
+    fixture.client.start(fixture.listener);
+    cr_assert(fixture.wait_until(
         [&]
         {
-            return !bench.listener.opened.empty();
+            return !fixture.listener.opened.empty();
         }));
-    cr_expect(bench.listener.was_trimmed);
+    cr_expect(fixture.listener.was_trimmed);
 }
--- a/tests/unit/peers/peers_test.cpp
+++ b/tests/unit/peers/peers_test.cpp
@@ -282,7 +282,7 @@
     cr_assert_eq(b.listener.visits[0].caller, 9U);
 }
 
-Test(udp_peers, datagram_with_an_unknown_key_is_rejected)
+Test(udp_peers, datagram_with_an_unknown_key_is_rejected_and_reported)
 {
     asio::io_context context;
     node a(context, make_keys(1, {1}));
