--- a/src/adapters/platform/backoff.cpp
+++ b/src/adapters/platform/backoff.cpp
@@ -7,10 +7,10 @@
 
 backoff::backoff(
     std::chrono::milliseconds first_delay,
-    std::chrono::milliseconds longest_delay,
+    std::chrono::milliseconds maximum_delay,
     std::uint64_t seed)
     : first(first_delay)
-    , longest(std::max(first_delay, longest_delay))
+    , maximum(std::max(first_delay, maximum_delay))
     , current(first_delay)
     , random(seed)
 {
@@ -18,11 +18,11 @@
 
 std::chrono::milliseconds backoff::next()
 {
-    const auto whole = this->current;
-    this->current = std::min(whole * 2, this->longest);
-    std::uniform_int_distribution<std::chrono::milliseconds::rep> cut(
-        whole.count() / 2, whole.count());
-    return std::chrono::milliseconds(cut(this->random));
+    const auto upper = this->current;
+    this->current = std::min(upper * 2, this->maximum);
+    std::uniform_int_distribution<std::chrono::milliseconds::rep> jittered(
+        upper.count() / 2, upper.count());
+    return std::chrono::milliseconds(jittered(this->random));
 }
 
 void backoff::reset()
--- a/src/adapters/platform/backoff.hpp
+++ b/src/adapters/platform/backoff.hpp
@@ -7,28 +7,29 @@
 namespace roseworks::platform
 {
 
-/// Delays between attempts: doubling up to a limit, each cut by up to a half
-/// at random so that routers don't return in step.
+/// Exponential backoff with jitter. The delay doubles up to a maximum, and each
+/// delay is reduced by up to half at random so that the routers don't retry at
+/// the same time.
 class backoff
 {
 public:
-    /// @param first   The first delay, before the cut.
-    /// @param longest No delay is longer.
-    /// @param seed    Of the random cuts.
+    /// @param first   The first delay before the random reduction.
+    /// @param longest The maximum delay.
+    /// @param seed    Seed of the random reductions.
     backoff(
         std::chrono::milliseconds first,
-        std::chrono::milliseconds longest,
+        std::chrono::milliseconds maximum,
         std::uint64_t seed);
 
-    /// @return The next delay.
+    /// @return The delay before the next attempt.
     std::chrono::milliseconds next();
 
-    /// An attempt succeeded: begin at the first delay again.
+    /// Starts at the first delay again after an attempt succeeded.
     void reset();
 
 private:
     std::chrono::milliseconds first;
-    std::chrono::milliseconds longest;
+    std::chrono::milliseconds maximum;
     std::chrono::milliseconds current;
     std::mt19937_64 random;
 };
--- a/src/adapters/platform/byte_meter.hpp
+++ b/src/adapters/platform/byte_meter.hpp
@@ -6,7 +6,8 @@
 namespace roseworks::platform
 {
 
-/// Bytes of control traffic, both ways. Read from any thread.
+/// Counts the bytes of control traffic in both directions. May be read from any
+/// thread.
 struct byte_meter
 {
     std::atomic<std::uint64_t> sent{0};
--- a/src/adapters/platform/credentials.cpp
+++ b/src/adapters/platform/credentials.cpp
@@ -16,18 +16,18 @@
 namespace
 {
 
-/// @return Whether the text can be a bearer credential of one header line.
-bool is_bearer(std::string_view text)
+/// @return Whether the text is valid as a bearer credential in a header line.
+bool is_valid_credential(std::string_view text)
 {
     constexpr char first_printable = 0x21;
     constexpr char last_printable = 0x7e;
     return !text.empty() && std::all_of(
                                 text.begin(),
                                 text.end(),
-                                [](char letter)
+                                [](char character)
                                 {
-                                    return letter >= first_printable &&
-                                           letter <= last_printable;
+                                    return character >= first_printable &&
+                                           character <= last_printable;
                                 });
 }
 
@@ -37,7 +37,7 @@
 {
     std::ifstream in(path);
     if (!in)
-        return leaf::new_error(credentials_problem{path, "can't be opened"});
+        return leaf::new_error(credentials_problem{path, "cannot be opened"});
     return load(in, path);
 }
 
@@ -60,19 +60,23 @@
     {
         if (!node.empty())
             return leaf::new_error(
-                credentials_problem{name, "has a section: " + engine});
-        if (!is_bearer(node.data()))
+                credentials_problem{name, "unexpected section " + engine});
+        if (!is_valid_credential(node.data()))
             return leaf::new_error(credentials_problem{
-                name, "credential of " + engine + " isn't printable"});
-        result.by_engine.emplace(engine, node.data());
+                name,
+                "credential of " + engine +
+                    " is empty or contains a character other than printable "
+                    "ASCII without spaces"});
+        result.credentials_by_engine.emplace(engine, node.data());
     }
     return result;
 }
 
 std::string_view credentials::find(std::string_view engine) const
 {
-    const auto found = this->by_engine.find(engine);
-    return found == this->by_engine.end() ? std::string_view() : found->second;
+    const auto found = this->credentials_by_engine.find(engine);
+    return found == this->credentials_by_engine.end() ? std::string_view()
+                                                      : found->second;
 }
 
 } // namespace roseworks::platform
--- a/src/adapters/platform/credentials.hpp
+++ b/src/adapters/platform/credentials.hpp
@@ -10,7 +10,7 @@
 namespace roseworks::platform
 {
 
-/// LEAF error object: a credentials file that can't be used. Never holds a
+/// LEAF error object: a credentials file that can't be used. Never contains a
 /// credential.
 struct credentials_problem
 {
@@ -18,31 +18,31 @@
     std::string what;
 };
 
-/// What this router shows to engines that check who gives them an order.
+/// Bearer credentials for the engines that authenticate the sender of an order.
 class credentials
 {
 public:
-    /// No credentials at all.
     credentials() = default;
 
-    /** Read an INI file of `engine = credential` lines, without sections.
+    /** Reads an INI file of `engine = credential` lines, without sections.
 
         @param path The file.
         @return     The credentials, or a `credentials_problem`.
     */
     static boost::leaf::result<credentials> load(const std::string& path);
 
-    /// As above, from a stream.
+    /// Reads the same format from a stream.
+    /// @param name The file's name for error messages.
     static boost::leaf::result<credentials>
     load(std::istream& in, const std::string& name);
 
-    /// @return The engine's credential, empty when there is none.
+    /// @return The engine's credential, or empty if it has none.
     std::string_view find(std::string_view engine) const;
 
     friend bool operator==(const credentials&, const credentials&) = default;
 
 private:
-    std::map<std::string, std::string, std::less<>> by_engine;
+    std::map<std::string, std::string, std::less<>> credentials_by_engine;
 };
 
 } // namespace roseworks::platform
--- a/src/adapters/platform/endpoint.cpp
+++ b/src/adapters/platform/endpoint.cpp
@@ -28,9 +28,9 @@
 
     const std::string_view port = address.substr(colon + 1);
     std::uint16_t number = 0;
-    const auto [end, failure] =
+    const auto [end, port_error] =
         std::from_chars(port.data(), port.data() + port.size(), number);
-    if (failure != std::errc{} || end != port.data() + port.size())
+    if (port_error != std::errc{} || end != port.data() + port.size())
         return {};
     return tcp::endpoint(parsed, number);
 }
--- a/src/adapters/platform/endpoint.hpp
+++ b/src/adapters/platform/endpoint.hpp
@@ -8,7 +8,7 @@
 namespace roseworks::platform
 {
 
-/// @return The endpoint of `ip:port`; empty when it is anything else.
+/// @return The endpoint of an `ip:port` text, or empty if the text is invalid.
 std::optional<boost::asio::ip::tcp::endpoint>
 parse_endpoint(std::string_view address);
 
--- a/src/adapters/platform/http_client.cpp
+++ b/src/adapters/platform/http_client.cpp
@@ -68,15 +68,15 @@
 {
 public:
     pool(
-        asio::any_io_executor on,
-        tcp::endpoint to,
-        const options& wanted,
-        byte_meter& counted)
-        : executor(std::move(on))
-        , server(to)
-        , host((std::ostringstream() << to).str())
-        , settings(wanted)
-        , meter(counted)
+        asio::any_io_executor executor,
+        tcp::endpoint server,
+        const options& settings,
+        byte_meter& meter)
+        : executor(std::move(executor))
+        , server(server)
+        , host((std::ostringstream() << server).str())
+        , settings(settings)
+        , meter(meter)
     {
     }
 
@@ -85,57 +85,58 @@
 
     void break_connections()
     {
-        this->idle.clear();
+        this->idle_connections.clear();
         ++this->generation;
-        for (connection* one : this->busy)
-            one->stream.close();
+        for (connection* active : this->active_connections)
+            active->stream.close();
     }
 
 private:
     connection_ptr take_idle()
     {
-        const auto oldest = steady::now() - this->settings.idle_limit;
-        while (!this->idle.empty())
+        const auto min_idle_since = steady::now() - this->settings.idle_limit;
+        while (!this->idle_connections.empty())
         {
-            connection_ptr last = std::move(this->idle.back());
-            this->idle.pop_back();
-            if (last->idle_since >= oldest &&
+            connection_ptr last = std::move(this->idle_connections.back());
+            this->idle_connections.pop_back();
+            if (last->idle_since >= min_idle_since &&
                 last->stream.look() == tls::idle_state::quiet)
                 return last;
         }
         return {};
     }
 
-    void keep(connection_ptr used, std::uint64_t taken_in)
+    void
+    return_to_pool(connection_ptr released, std::uint64_t started_generation)
     {
-        if (taken_in != this->generation)
+        if (started_generation != this->generation)
             return;
-        used->stream.expires_never();
-        used->idle_since = steady::now();
-        this->idle.push_back(std::move(used));
-        if (this->idle.size() > this->settings.max_idle)
-            this->idle.pop_front();
+        released->stream.expires_never();
+        released->idle_since = steady::now();
+        this->idle_connections.push_back(std::move(released));
+        if (this->idle_connections.size() > this->settings.max_idle)
+            this->idle_connections.pop_front();
     }
 
-    asio::awaitable<bool> connect(connection& fresh)
+    asio::awaitable<bool> connect(connection& created)
     {
         error_code error;
-        fresh.stream.expires_after(this->settings.connect_timeout);
-        co_await fresh.stream.async_connect(
+        created.stream.expires_after(this->settings.connect_timeout);
+        co_await created.stream.async_connect(
             this->server, asio::redirect_error(asio::use_awaitable, error));
         if (error)
             co_return false;
-        fresh.stream.socket().set_option(tcp::no_delay(true), error);
+        created.stream.socket().set_option(tcp::no_delay(true), error);
         if (this->settings.secured_by == nullptr)
             co_return true;
-        const bool secured =
-            co_await this->settings.secured_by->secure(fresh.stream);
-        co_return secured;
+        const bool is_secured =
+            co_await this->settings.secured_by->secure(created.stream);
+        co_return is_secured;
     }
 
-    /// Reads one answer; `no_answer` when it doesn't come whole.
+    /// Reads one response. The result is `no_answer` if it isn't complete.
     asio::awaitable<http_answer>
-    read(connection& from, const http_call& call, bool& reusable)
+    read(connection& from, const http_call& call, bool& is_reusable)
     {
         http_answer answer;
         answer.end = exchange_end::no_answer;
@@ -143,7 +144,7 @@
         parser.body_limit(this->settings.max_answer_bytes);
         beast::flat_buffer buffer;
         error_code error;
-        const auto latest = steady::now() + call.longest;
+        const auto deadline = steady::now() + call.longest;
         while (!parser.is_done() && !error)
         {
             const std::size_t received = co_await http::async_read_some(
@@ -155,12 +156,12 @@
             answer.received += received;
             if (call.longest > call.timeout)
                 from.stream.expires_after(std::min<steady::duration>(
-                    latest - steady::now(), call.timeout));
+                    deadline - steady::now(), call.timeout));
         }
         if (error)
             co_return answer;
 
-        reusable = parser.get().keep_alive() && buffer.size() == 0;
+        is_reusable = parser.get().keep_alive() && buffer.size() == 0;
         answer.end = exchange_end::answered;
         answer.status = parser.get().result_int();
         answer.etag = std::string(parser.get()[http::field::etag]);
@@ -168,40 +169,40 @@
         co_return answer;
     }
 
-    asio::awaitable<http_answer>
-    write_and_read(connection_ptr with, http_call& call, std::uint64_t taken_in)
+    asio::awaitable<http_answer> write_and_read(
+        connection_ptr used, http_call& call, std::uint64_t started_generation)
     {
         http_answer answer;
         const http::request<http::string_body> request =
             make_request(call, this->host);
-        with->stream.expires_after(call.timeout);
+        used->stream.expires_after(call.timeout);
         if (call.may_send && !call.may_send())
         {
-            this->keep(with, taken_in);
+            this->return_to_pool(used, started_generation);
             answer.end = exchange_end::withheld;
             co_return answer;
         }
 
         error_code error;
-        const std::uint64_t before = with->stream.secured_bytes();
+        const std::uint64_t bytes_before = used->stream.secured_bytes();
         const std::size_t sent = co_await http::async_write(
-            with->stream,
+            used->stream,
             request,
             asio::redirect_error(asio::use_awaitable, error));
         this->meter.sent += sent;
         if (error)
         {
-            const bool untouched =
-                sent == 0 && with->stream.secured_bytes() == before;
+            const bool is_unsent =
+                sent == 0 && used->stream.secured_bytes() == bytes_before;
             answer.end =
-                untouched ? exchange_end::not_sent : exchange_end::no_answer;
+                is_unsent ? exchange_end::not_sent : exchange_end::no_answer;
             co_return answer;
         }
 
-        bool reusable = false;
-        answer = co_await this->read(*with, call, reusable);
-        if (reusable)
-            this->keep(with, taken_in);
+        bool is_reusable = false;
+        answer = co_await this->read(*used, call, is_reusable);
+        if (is_reusable)
+            this->return_to_pool(used, started_generation);
         co_return answer;
     }
 
@@ -210,28 +211,28 @@
     std::string host;
     options settings;
     byte_meter& meter;
-    std::deque<connection_ptr> idle;
-    std::unordered_set<connection*> busy;
+    std::deque<connection_ptr> idle_connections;
+    std::unordered_set<connection*> active_connections;
     std::uint64_t generation = 0;
 };
 
 asio::awaitable<http_answer>
 http_client::pool::exchange(std::shared_ptr<pool> self, http_call call)
 {
-    const std::uint64_t taken_in = self->generation;
+    const std::uint64_t started_generation = self->generation;
     http_answer answer;
-    connection_ptr with = self->take_idle();
-    const bool reused = with != nullptr;
-    if (!reused)
-        with = std::make_shared<connection>(self->executor);
+    connection_ptr used = self->take_idle();
+    const bool is_reused = used != nullptr;
+    if (!is_reused)
+        used = std::make_shared<connection>(self->executor);
 
-    self->busy.insert(with.get());
-    bool open = reused;
-    if (!reused)
-        open = co_await self->connect(*with);
-    if (open && taken_in == self->generation)
-        answer = co_await self->write_and_read(with, call, taken_in);
-    self->busy.erase(with.get());
+    self->active_connections.insert(used.get());
+    bool is_connected = is_reused;
+    if (!is_reused)
+        is_connected = co_await self->connect(*used);
+    if (is_connected && started_generation == self->generation)
+        answer = co_await self->write_and_read(used, call, started_generation);
+    self->active_connections.erase(used.get());
     co_return answer;
 }
 
--- a/src/adapters/platform/http_client.hpp
+++ b/src/adapters/platform/http_client.hpp
@@ -24,31 +24,31 @@
 /// How one HTTP exchange ended.
 enum class exchange_end : std::uint8_t
 {
-    answered, ///< a whole answer came
-    not_sent, ///< no byte of the request left
-    withheld, ///< `http_call::may_send` said no
-    no_answer ///< bytes left, and no whole answer came
+    answered, ///< a complete response was received
+    not_sent, ///< no byte of the request was sent
+    withheld, ///< not sent, because `http_call::may_send` returned false
+    no_answer ///< sent at least in part, without a complete response
 };
 
 struct http_answer
 {
     exchange_end end = exchange_end::not_sent;
-    unsigned status = 0;      ///< when answered
-    std::string body;         ///< when answered
-    std::string etag;         ///< when answered; empty: the server names none
-    std::size_t received = 0; ///< bytes, of one that isn't whole, too
+    unsigned status = 0;      ///< valid if `answered`
+    std::string body;         ///< valid if `answered`
+    std::string etag;         ///< valid if `answered`; empty: no such header
+    std::size_t received = 0; ///< bytes, also of an incomplete response
 
-    /// @return Whether a whole answer of this status came.
+    /// @return Whether a complete response with this status was received.
     bool is(unsigned expected) const
     {
         return this->end == exchange_end::answered && this->status == expected;
     }
 };
 
-/// A header field of a call beside those that have a member of their own.
+/// An additional header field of a request.
 struct http_header
 {
-    std::string name; ///< empty: none
+    std::string name; ///< empty: no header field
     std::string value;
 };
 
@@ -58,25 +58,27 @@
     std::string target;
     std::string body;
     std::string content_type;
-    std::string authorization; ///< empty: none
-    std::string if_none_match; ///< empty: the whole answer is wanted
+    std::string authorization; ///< empty: no such header
+    std::string if_none_match; ///< empty: no such header
     http_header header;
-    /// Of the whole call; where `longest` is longer, without a byte of the
-    /// answer.
+    /// Time limit of the whole exchange on an open connection. If `longest`
+    /// is longer, this is instead the limit for the time without a byte of the
+    /// response.
     std::chrono::milliseconds timeout{};
-    /// Of the whole answer as long as its bytes come.
+    /// Time limit of the whole response while its bytes keep arriving.
     std::chrono::milliseconds longest{};
-    /// Asked immediately before the first byte is written; empty: always.
+    /// Called immediately before the first byte is written. The request isn't
+    /// sent if it returns false. Empty: always sent.
     std::function<bool()> may_send;
 };
 
-/** Calls one HTTP/1.1 server and reuses its connections.
+/** HTTP/1.1 client of one server with a pool of persistent connections.
 
-    A connection that was idle for long, or on which the server has sent or
-    closed something meanwhile, isn't used again; one that gave no answer in
-    time is closed. Nothing is ever sent twice. Not thread-safe: all calls on
-    the executor's single thread. Copies share the connections, and calls may
-   outlive the client.
+    A connection isn't reused if it was idle for too long, or if the server has
+    closed it or sent data while it was idle. A connection without a response
+    in time is closed. A request is never sent twice. Not thread-safe: all calls
+    have to run on the executor's single thread. Copies share the connections,
+    and calls may outlive the client.
 */
 class http_client
 {
@@ -96,10 +98,11 @@
         const options& settings,
         byte_meter& meter);
 
-    /// Sends a call once.
+    /// Sends a request once and reads its response.
     boost::asio::awaitable<http_answer> send(http_call call);
 
-    /// Breaks all connections: running calls end as they then stand.
+    /// Closes all connections. Running calls end with the outcome of their
+    /// current state.
     void break_connections();
 
 private:
--- a/src/adapters/platform/http_engine_client.cpp
+++ b/src/adapters/platform/http_engine_client.cpp
@@ -49,18 +49,18 @@
         return action == order_action::unload ? order_outcome::not_found
                                               : order_outcome::refused;
     case status_conflict:
-        return read_error_word(answer.body) == "stale_fence"
+        return read_error_code(answer.body) == "stale_fence"
                    ? order_outcome::stale_fence
                    : order_outcome::refused;
     default:
         break;
     }
-    const bool says_no =
+    const bool is_client_error =
         answer.status >= client_errors && answer.status < server_errors;
-    return says_no ? order_outcome::refused : order_outcome::unknown;
+    return is_client_error ? order_outcome::refused : order_outcome::unknown;
 }
 
-engine_report unreachable(engine_id engine)
+engine_report make_unreachable_report(engine_id engine)
 {
     engine_report report;
     report.engine = engine;
@@ -70,26 +70,26 @@
 } // namespace
 
 http_engine_client::http_engine_client(
-    asio::any_io_executor on,
-    const options& wanted,
-    credentials to_show,
-    byte_meter& counted)
-    : executor(std::move(on))
-    , settings(wanted)
-    , shown(std::move(to_show))
-    , meter(counted)
+    asio::any_io_executor executor,
+    const options& settings,
+    credentials initial_credentials,
+    byte_meter& meter)
+    : executor(std::move(executor))
+    , settings(settings)
+    , current_credentials(std::move(initial_credentials))
+    , meter(meter)
 {
 }
 
 void http_engine_client::show(credentials replacement)
 {
-    this->shown = std::move(replacement);
+    this->current_credentials = std::move(replacement);
 }
 
 void http_engine_client::send_order(
     const engine_order& order,
     std::string_view engine_name,
-    may_send allowed,
+    may_send may_send_now,
     order_done done)
 {
     http_client* client = this->find_client(order.address);
@@ -110,8 +110,9 @@
     call.content_type = "application/json";
     call.body = write_order(order);
     call.timeout = this->settings.order_timeout;
-    call.may_send = std::move(allowed);
-    const std::string_view credential = this->shown.find(engine_name);
+    call.may_send = std::move(may_send_now);
+    const std::string_view credential =
+        this->current_credentials.find(engine_name);
     if (order.checks_credential && !credential.empty())
         call.authorization = "Bearer " + std::string(credential);
     asio::co_spawn(
@@ -121,51 +122,52 @@
         rethrow);
 }
 
-void http_engine_client::read_state(const read_engine& what, read_done done)
+void http_engine_client::read_state(const read_engine& request, read_done done)
 {
-    http_client* client = this->find_client(what.address);
+    http_client* client = this->find_client(request.address);
     if (client == nullptr)
     {
         asio::post(
             this->executor,
-            [done = std::move(done), engine = what.engine]
+            [done = std::move(done), engine = request.engine]
             {
-                done(unreachable(engine));
+                done(make_unreachable_report(engine));
             });
         return;
     }
     asio::co_spawn(
         this->executor,
-        this->run_read(*client, what.engine, std::move(done)),
+        this->run_read(*client, request.engine, std::move(done)),
         rethrow);
 }
 
 void http_engine_client::read_cache_events(
-    const read_engine& what, std::uint64_t incarnation, cache_done done)
+    const read_engine& request, std::uint64_t incarnation, cache_done done)
 {
-    server* from = this->find_server(what.address);
-    if (from == nullptr || from->reading_events)
+    server* from = this->find_server(request.address);
+    if (from == nullptr || from->is_reading_events)
         return;
     if (from->incarnation != incarnation)
     {
         from->incarnation = incarnation;
         from->next_event = 0;
     }
-    from->reading_events = true;
-    cache_report asked;
-    asked.engine = what.engine;
-    asked.incarnation = incarnation;
-    asked.from = from->next_event;
+    from->is_reading_events = true;
+    cache_report requested;
+    requested.engine = request.engine;
+    requested.incarnation = incarnation;
+    requested.from = from->next_event;
     asio::co_spawn(
         this->executor,
-        this->run_read_events(from->client, what, asked, std::move(done)),
+        this->run_read_events(
+            from->client, request, requested, std::move(done)),
         rethrow);
 }
 
 void http_engine_client::cancel_all()
 {
-    for (auto& [address, one] : this->servers)
-        one.client.break_connections();
+    for (auto& [address, server] : this->servers)
+        server.client.break_connections();
 }
 
 asio::awaitable<void> http_engine_client::run_order(
@@ -184,7 +186,7 @@
     const http_answer answer = co_await from.send(std::move(call));
     if (!answer.is(status_ok))
     {
-        done(unreachable(engine));
+        done(make_unreachable_report(engine));
         co_return;
     }
     done(leaf::try_handle_all(
@@ -194,23 +196,26 @@
         },
         [&]
         {
-            return unreachable(engine);
+            return make_unreachable_report(engine);
         }));
 }
 
 asio::awaitable<void> http_engine_client::run_read_events(
-    http_client from, read_engine what, cache_report asked, cache_done done)
+    http_client from,
+    read_engine request,
+    cache_report requested,
+    cache_done done)
 {
-    const std::uint64_t first = std::max<std::uint64_t>(asked.from, 1);
+    const std::uint64_t first = std::max<std::uint64_t>(requested.from, 1);
     http_call call;
     call.target = "/v1/engine/events?from=" + std::to_string(first);
     call.timeout = this->settings.order_timeout;
     const http_answer answer = co_await from.send(std::move(call));
 
-    const auto place = this->servers.find(what.address);
-    if (place != this->servers.end())
-        place->second.reading_events = false;
-    if (!answer.is(status_ok) || place == this->servers.end())
+    const auto found = this->servers.find(request.address);
+    if (found != this->servers.end())
+        found->second.is_reading_events = false;
+    if (!answer.is(status_ok) || found == this->servers.end())
         co_return;
     std::optional<cache_report> report = leaf::try_handle_all(
         [&]() -> leaf::result<std::optional<cache_report>>
@@ -224,11 +229,12 @@
         });
     if (!report)
         co_return;
-    report->engine = asked.engine;
-    report->incarnation = asked.incarnation;
-    report->from = asked.from;
-    // Numbers that went back are those of another run: the next read is anew.
-    place->second.next_event = report->next < first ? 0 : report->next;
+    report->engine = requested.engine;
+    report->incarnation = requested.incarnation;
+    report->from = requested.from;
+    // A lower number than requested belongs to another run of the engine, so
+    // the next read starts from the beginning.
+    found->second.next_event = report->next < first ? 0 : report->next;
     done(*report);
 }
 
@@ -242,17 +248,18 @@
 http_engine_client::find_server(const std::string& address)
 {
     const auto now = steady::now();
-    this->forget_unused(now);
+    this->remove_unused_servers(now);
     auto found = this->servers.find(address);
     if (found == this->servers.end())
     {
         const auto endpoint = parse_endpoint(address);
         if (!endpoint)
             return nullptr;
-        http_client::options wanted;
-        wanted.connect_timeout = this->settings.connect_timeout;
-        wanted.secured_by = this->settings.secured_by;
-        http_client client(this->executor, *endpoint, wanted, this->meter);
+        http_client::options client_options;
+        client_options.connect_timeout = this->settings.connect_timeout;
+        client_options.secured_by = this->settings.secured_by;
+        http_client client(
+            this->executor, *endpoint, client_options, this->meter);
         found = this->servers.emplace(address, server{std::move(client), now})
                     .first;
     }
@@ -260,16 +267,18 @@
     return &found->second;
 }
 
-void http_engine_client::forget_unused(steady::time_point now)
+void http_engine_client::remove_unused_servers(steady::time_point now)
 {
-    if (now < this->next_sweep)
+    if (now < this->next_removal)
         return;
-    this->next_sweep = now + this->settings.forget_after;
+    this->next_removal = now + this->settings.unused_engine_timeout;
     std::erase_if(
         this->servers,
         [&](const auto& entry)
         {
-            return entry.second.last_used + this->settings.forget_after < now;
+            return entry.second.last_used +
+                       this->settings.unused_engine_timeout <
+                   now;
         });
 }
 
--- a/src/adapters/platform/http_engine_client.hpp
+++ b/src/adapters/platform/http_engine_client.hpp
@@ -16,10 +16,11 @@
 namespace roseworks::platform
 {
 
-/** Orders and state reads over HTTP, with connections kept by engine.
+/** Sends orders to engines and reads their state over HTTP. Keeps persistent
+    connections per engine.
 
-    Never repeats an order. Runs on the executor's single thread and has to
-    outlive the last run of its context.
+    Never repeats an order. All calls run on the executor's single thread, and
+    the object must outlive the last run of its context.
 */
 class http_engine_client final : public engine_port
 {
@@ -28,17 +29,18 @@
     {
         std::chrono::milliseconds order_timeout{2000};
         std::chrono::milliseconds connect_timeout{1000};
-        std::chrono::milliseconds forget_after{120'000}; ///< unused engines
-        const tls::connector* secured_by = nullptr;      ///< null: plain HTTP
+        /// Connections of an engine that isn't used for this time are closed.
+        std::chrono::milliseconds unused_engine_timeout{120'000};
+        const tls::connector* secured_by = nullptr; ///< null: plain HTTP
     };
 
     http_engine_client(
         boost::asio::any_io_executor executor,
         const options& settings,
-        credentials shown,
+        credentials current_credentials,
         byte_meter& meter);
 
-    /// Orders that leave from now on show these.
+    /// Replaces the credentials for all orders sent from now on.
     void show(credentials replacement);
 
     void send_order(
@@ -46,9 +48,9 @@
         std::string_view engine_name,
         may_send allowed,
         order_done done) override;
-    void read_state(const read_engine& what, read_done done) override;
+    void read_state(const read_engine& request, read_done done) override;
     void read_cache_events(
-        const read_engine& what,
+        const read_engine& request,
         std::uint64_t incarnation,
         cache_done done) override;
     void cancel_all() override;
@@ -58,9 +60,9 @@
     {
         http_client client;
         std::chrono::steady_clock::time_point last_used;
-        std::uint64_t incarnation = 0; ///< whose cache events were read
-        std::uint64_t next_event = 0;  ///< 0: none was read yet
-        bool reading_events = false;
+        std::uint64_t incarnation = 0; ///< of `next_event`
+        std::uint64_t next_event = 0;  ///< 0: no event was read yet
+        bool is_reading_events = false;
     };
 
     boost::asio::awaitable<void> run_order(
@@ -68,17 +70,20 @@
     boost::asio::awaitable<void>
     run_read(http_client from, engine_id engine, read_done done);
     boost::asio::awaitable<void> run_read_events(
-        http_client from, read_engine what, cache_report asked, cache_done);
+        http_client from,
+        read_engine request,
+        cache_report requested,
+        cache_done);
     server* find_server(const std::string& address);
     http_client* find_client(const std::string& address);
-    void forget_unused(std::chrono::steady_clock::time_point now);
+    void remove_unused_servers(std::chrono::steady_clock::time_point now);
 
     boost::asio::any_io_executor executor;
     options settings;
-    credentials shown;
+    credentials current_credentials;
     byte_meter& meter;
     std::unordered_map<std::string, server> servers; ///< by address
-    std::chrono::steady_clock::time_point next_sweep{};
+    std::chrono::steady_clock::time_point next_removal{};
 };
 
 } // namespace roseworks::platform
--- a/src/adapters/platform/http_vm_list_client.cpp
+++ b/src/adapters/platform/http_vm_list_client.cpp
@@ -33,42 +33,42 @@
 } // namespace
 
 http_vm_list_client::http_vm_list_client(
-    asio::any_io_executor on,
+    asio::any_io_executor executor,
     asio::ip::tcp::endpoint server,
-    const options& wanted,
+    const options& settings,
     byte_meter& meter)
-    : executor(on)
-    , settings(wanted)
-    , client(on, server, connection_options(wanted), meter)
-    , timer(on)
+    : executor(executor)
+    , settings(settings)
+    , client(executor, server, connection_options(settings), meter)
+    , timer(executor)
 {
 }
 
-void http_vm_list_client::start(vm_list_listener& wanted)
+void http_vm_list_client::start(vm_list_listener& receiver)
 {
-    this->listener = &wanted;
+    this->listener = &receiver;
     asio::co_spawn(this->executor, this->poll(), rethrow);
 }
 
 void http_vm_list_client::stop()
 {
-    this->stopped = true;
+    this->is_stopped = true;
     this->timer.cancel();
     this->client.break_connections();
 }
 
 asio::awaitable<void> http_vm_list_client::poll()
 {
-    while (!this->stopped)
+    while (!this->is_stopped)
     {
         http_call call;
         call.target = "/v1/vms";
         call.timeout = this->settings.timeout;
-        call.if_none_match = this->version;
+        call.if_none_match = this->etag;
         const http_answer answer = co_await this->client.send(std::move(call));
-        if (this->stopped)
+        if (this->is_stopped)
             co_return;
-        this->take(answer);
+        this->handle_answer(answer);
 
         boost::system::error_code ignored;
         this->timer.expires_after(this->settings.poll);
@@ -77,16 +77,16 @@
     }
 }
 
-void http_vm_list_client::take(const http_answer& answer)
+void http_vm_list_client::handle_answer(const http_answer& answer)
 {
-    if (answer.is(status_not_modified) && !this->version.empty())
+    if (answer.is(status_not_modified) && !this->etag.empty())
     {
-        this->listener->vms_listed(this->last);
+        this->listener->vms_listed(this->last_vms);
         return;
     }
-    // Only a whole list that could be read is worth a question for changes.
-    this->version.clear();
-    this->last.clear();
+    // Ask for changes only after a complete and valid list.
+    this->etag.clear();
+    this->last_vms.clear();
     if (!answer.is(status_ok))
     {
         this->listener->vm_list_failed();
@@ -99,8 +99,8 @@
             this->listener->vms_listed(vms);
             if (answer.etag.empty())
                 return {};
-            this->version = answer.etag;
-            this->last = std::move(vms);
+            this->etag = answer.etag;
+            this->last_vms = std::move(vms);
             return {};
         },
         [&]
--- a/src/adapters/platform/http_vm_list_client.hpp
+++ b/src/adapters/platform/http_vm_list_client.hpp
@@ -17,10 +17,10 @@
 
 /** Polls the platform's VM list over HTTP.
 
-    A list that hasn't changed isn't sent again by a server that names versions
-    (`ETag`, `If-None-Match`): the listener then gets the last one once more, as
-    each look at the list counts. Runs on the executor's single thread and has
-    to outlive the last run of its context.
+    A server that supports `ETag` and `If-None-Match` doesn't send an unchanged
+    list again. The listener then receives the last list again, because it
+    counts the successful polls. All calls run on the executor's single thread,
+    and the object must outlive the last run of its context.
 */
 class http_vm_list_client final : public vm_list_port
 {
@@ -43,16 +43,16 @@
 
 private:
     boost::asio::awaitable<void> poll();
-    void take(const http_answer& answer);
+    void handle_answer(const http_answer& answer);
 
     boost::asio::any_io_executor executor;
     options settings;
     http_client client;
     boost::asio::steady_timer timer;
     vm_list_listener* listener = nullptr;
-    std::string version;        ///< of `last`; empty: none is named
-    std::vector<vm_entry> last; ///< only while a version is known
-    bool stopped = false;
+    std::string etag;               ///< entity tag of `last`; empty: none
+    std::vector<vm_entry> last_vms; ///< empty if `version` is empty
+    bool is_stopped = false;
 };
 
 } // namespace roseworks::platform
--- a/src/adapters/platform/platform_messages.cpp
+++ b/src/adapters/platform/platform_messages.cpp
@@ -28,7 +28,8 @@
     return std::string(field->as_string());
 }
 
-/// @return The field, 0 when it is missing, negative or too large.
+/// @return The field, or 0 if it is missing, not a number, negative or too
+///         large.
 template <class Number>
 Number number_field(const json::object& object, std::string_view name)
 {
@@ -55,19 +56,19 @@
     if (error)
         return leaf::new_error(message_error{error.message()});
     if (!parsed.is_object())
-        return leaf::new_error(message_error{"not an object"});
+        return leaf::new_error(message_error{"message is not a JSON object"});
     return std::move(parsed.as_object());
 }
 
-std::optional<replica_state> parse_state(std::string_view word)
+std::optional<replica_state> parse_state(std::string_view text)
 {
-    if (word == "loading")
+    if (text == "loading")
         return replica_state::loading;
-    if (word == "ready")
+    if (text == "ready")
         return replica_state::ready;
-    if (word == "unloading")
+    if (text == "unloading")
         return replica_state::unloading;
-    if (word == "failed")
+    if (text == "failed")
         return replica_state::failed;
     return {};
 }
@@ -75,12 +76,12 @@
 leaf::result<resident> read_resident(const json::value& value)
 {
     if (!value.is_object())
-        return leaf::new_error(message_error{"resident isn't an object"});
+        return leaf::new_error(message_error{"resident is not a JSON object"});
 
     const json::object& object = value.as_object();
     const auto state = parse_state(text_field(object, "state"));
     if (!state)
-        return leaf::new_error(message_error{"resident of unknown state"});
+        return leaf::new_error(message_error{"resident has an unknown state"});
 
     resident result;
     result.replica = replica_id(number_field<std::uint64_t>(object, "replica"));
@@ -114,7 +115,7 @@
 std::optional<cache_event> read_cache_event(const json::value& value)
 {
     constexpr std::size_t prefix_digits = 16;
-    constexpr int hexadecimal = 16;
+    constexpr int hex_base = 16;
     const json::object* object = value.if_object();
     if (object == nullptr)
         return {};
@@ -125,7 +126,7 @@
     const std::string prefix = text_field(*object, "prefix");
     const char* end = prefix.data() + prefix.size();
     const auto parsed =
-        std::from_chars(prefix.data(), end, result.prefix, hexadecimal);
+        std::from_chars(prefix.data(), end, result.prefix, hex_base);
     if (result.sequence == 0 || cached == nullptr || !cached->is_bool() ||
         prefix.size() != prefix_digits || parsed.ec != std::errc() ||
         parsed.ptr != end)
@@ -137,15 +138,15 @@
 leaf::result<vm_entry> read_vm(const json::value& value)
 {
     if (!value.is_object())
-        return leaf::new_error(message_error{"VM isn't an object"});
+        return leaf::new_error(message_error{"VM is not a JSON object"});
 
     const json::object& object = value.as_object();
     const std::string role = text_field(object, "role");
     const std::string state = text_field(object, "state");
     if (role != "router" && role != "backend")
-        return leaf::new_error(message_error{"VM of unknown role"});
+        return leaf::new_error(message_error{"VM has an unknown role"});
     if (state != "live" && state != "leaving")
-        return leaf::new_error(message_error{"VM of unknown state"});
+        return leaf::new_error(message_error{"VM has an unknown state"});
 
     vm_entry result;
     result.vm = text_field(object, "vm");
@@ -154,7 +155,7 @@
     result.is_router = role == "router";
     result.leaving = state == "leaving";
     if (result.vm.empty())
-        return leaf::new_error(message_error{"VM without a name"});
+        return leaf::new_error(message_error{"VM has no name"});
     return result;
 }
 
@@ -188,11 +189,12 @@
 
     const json::array* residents = array_field(object, "residents");
     if (residents == nullptr)
-        return leaf::new_error(message_error{"no list of residents"});
+        return leaf::new_error(
+            message_error{"field residents is missing or not a list"});
     for (const json::value& value : *residents)
     {
-        BOOST_LEAF_AUTO(one, read_resident(value));
-        report.residents.push_back(std::move(one));
+        BOOST_LEAF_AUTO(entry, read_resident(value));
+        report.residents.push_back(std::move(entry));
     }
     read_cached(object, report);
     return report;
@@ -203,14 +205,15 @@
     BOOST_LEAF_AUTO(object, parse_object(body));
     const json::array* events = array_field(object, "events");
     if (events == nullptr)
-        return leaf::new_error(message_error{"no list of events"});
+        return leaf::new_error(
+            message_error{"field events is missing or not a list"});
 
     cache_report report;
     report.next = number_field<std::uint64_t>(object, "next");
     for (const json::value& value : *events)
     {
-        if (const auto one = read_cache_event(value))
-            report.events.push_back(*one);
+        if (const auto event = read_cache_event(value))
+            report.events.push_back(*event);
     }
     return report;
 }
@@ -220,18 +223,19 @@
     BOOST_LEAF_AUTO(object, parse_object(body));
     const json::array* vms = array_field(object, "vms");
     if (vms == nullptr)
-        return leaf::new_error(message_error{"no list of VMs"});
+        return leaf::new_error(
+            message_error{"field vms is missing or not a list"});
 
     std::vector<vm_entry> result;
     for (const json::value& value : *vms)
     {
-        BOOST_LEAF_AUTO(one, read_vm(value));
-        result.push_back(std::move(one));
+        BOOST_LEAF_AUTO(vm, read_vm(value));
+        result.push_back(std::move(vm));
     }
     return result;
 }
 
-std::string read_error_word(std::string_view body)
+std::string read_error_code(std::string_view body)
 {
     json::error_code error;
     const json::value parsed =
--- a/src/adapters/platform/rethrow.hpp
+++ b/src/adapters/platform/rethrow.hpp
@@ -5,12 +5,13 @@
 namespace roseworks::platform
 {
 
-/// Completion of a coroutine that nobody waits for: a fault in it surfaces
-/// from the event loop instead of ending the coroutine unnoticed.
-inline constexpr auto rethrow = [](std::exception_ptr fault)
+/// Completion handler of a coroutine that nobody waits for. It rethrows an
+/// exception of the coroutine from the event loop, which would otherwise be
+/// ignored.
+inline constexpr auto rethrow = [](std::exception_ptr exception)
 {
-    if (fault)
-        std::rethrow_exception(fault);
+    if (exception)
+        std::rethrow_exception(exception);
 };
 
 } // namespace roseworks::platform
--- a/src/adapters/platform/system_clock.cpp
+++ b/src/adapters/platform/system_clock.cpp
@@ -8,10 +8,10 @@
 
 instant system_clock::now() const
 {
-    timespec read{};
-    clock_gettime(CLOCK_BOOTTIME, &read);
-    const auto elapsed = std::chrono::seconds(read.tv_sec) +
-                         std::chrono::nanoseconds(read.tv_nsec);
+    timespec time{};
+    clock_gettime(CLOCK_BOOTTIME, &time);
+    const auto elapsed = std::chrono::seconds(time.tv_sec) +
+                         std::chrono::nanoseconds(time.tv_nsec);
     return instant(std::chrono::duration_cast<duration>(elapsed));
 }
 
--- a/src/adapters/platform/system_clock.hpp
+++ b/src/adapters/platform/system_clock.hpp
@@ -7,9 +7,9 @@
 
 /** The operating system's clocks.
 
-    The monotonic one counts the time in which the VM was suspended, which
-    `std::chrono::steady_clock` leaves out: a router that wakes from it must not
-    take a lease for its own that lapsed meanwhile.
+    The monotonic clock includes the time while the VM was suspended, unlike
+    `std::chrono::steady_clock`. Otherwise a router could treat a lease that
+    expired during a suspension as still valid.
 */
 class system_clock final : public clock_port
 {
--- a/tests/unit/log_client/http_log_client_test.cpp
+++ b/tests/unit/log_client/http_log_client_test.cpp
@@ -19,7 +19,7 @@
 
 namespace asio = boost::asio;
 using log_client::http_log_client;
-using kind = scripted_answer::kind;
+using mode = scripted_answer::mode;
 using offset_pair = std::pair<std::uint64_t, std::uint64_t>;
 
 std::string frame(std::uint64_t offset, std::string bytes)
@@ -34,7 +34,7 @@
 scripted_answer status_answer(int first, int next)
 {
     return {
-        kind::answer,
+        mode::answer,
         200,
         "{\"first_offset\":" + std::to_string(first) +
             ",\"next_offset\":" + std::to_string(next) + "}"};
@@ -152,7 +152,7 @@
         {
             if (has_path(request, "/v1/append"))
                 return answer;
-            return {kind::hold, 200, ""};
+            return {mode::no_answer, 200, ""};
         });
     return fixture.append();
 }
@@ -162,38 +162,41 @@
 Test(log_client, an_append_is_done_after_a_complete_200_only)
 {
     cr_expect(
-        append_outcome_for({kind::answer, 200, "{}"}) == append_outcome::done);
+        append_outcome_for({mode::answer, 200, "{}"}) == append_outcome::done);
     cr_expect(
-        append_outcome_for({kind::cut, 200, "{}"}) == append_outcome::unknown);
+        append_outcome_for({mode::truncate, 200, "{}"}) ==
+        append_outcome::unknown);
 }
 
 Test(log_client, an_append_without_an_answer_is_unknown)
 {
     cr_expect(
-        append_outcome_for({kind::close, 200, ""}) == append_outcome::unknown);
+        append_outcome_for({mode::disconnect, 200, ""}) ==
+        append_outcome::unknown);
     cr_expect(
-        append_outcome_for({kind::hold, 200, ""}) == append_outcome::unknown);
+        append_outcome_for({mode::no_answer, 200, ""}) ==
+        append_outcome::unknown);
     cr_expect(
-        append_outcome_for({kind::answer, 503, "{}"}) ==
+        append_outcome_for({mode::answer, 503, "{}"}) ==
         append_outcome::unknown);
     cr_expect(
-        append_outcome_for({kind::answer, 500, "{}"}) ==
+        append_outcome_for({mode::answer, 500, "{}"}) ==
         append_outcome::unknown);
 }
 
 Test(log_client, an_append_that_is_invalid_or_was_not_sent_is_refused)
 {
     cr_expect(
-        append_outcome_for({kind::answer, 400, "{}"}) ==
+        append_outcome_for({mode::answer, 400, "{}"}) ==
         append_outcome::refused);
     cr_expect(
-        append_outcome_for({kind::answer, 413, "{}"}) ==
+        append_outcome_for({mode::answer, 413, "{}"}) ==
         append_outcome::refused);
 
     log_client_fixture fixture(
         [](const scripted_server::request&) -> scripted_answer
         {
-            return {kind::hold, 200, ""};
+            return {mode::no_answer, 200, ""};
         });
     fixture.server.stop();
     cr_expect(fixture.append() == append_outcome::refused);
@@ -205,8 +208,8 @@
         [](const scripted_server::request& request) -> scripted_answer
         {
             if (has_path(request, "/v1/append"))
-                return {kind::answer, 200, "{}"};
-            return {kind::hold, 200, ""};
+                return {mode::answer, 200, "{}"};
+            return {mode::no_answer, 200, ""};
         });
     fixture.client.start(fixture.listener);
     for (std::uint64_t batch = 1; batch <= 3; ++batch)
@@ -232,10 +235,10 @@
                 return status_answer(1, 4);
             ++reads;
             if (has_path(request, "/v1/read?from=1&"))
-                return {kind::answer, 200, frame(1, "a") + frame(2, "b")};
+                return {mode::answer, 200, frame(1, "a") + frame(2, "b")};
             if (has_path(request, "/v1/read?from=3&"))
-                return {kind::answer, 200, frame(3, "c")};
-            return {kind::hold, 200, ""};
+                return {mode::answer, 200, frame(3, "c")};
+            return {mode::no_answer, 200, ""};
         });
     fixture.client.start(fixture.listener);
     cr_assert(fixture.wait_until(
@@ -268,8 +271,8 @@
             if (has_path(request, "/v1/status"))
                 return status_answer(status_reads++ == 0 ? 1 : 2, 4);
             if (has_path(request, "/v1/read?from=3&"))
-                return {kind::answer, 200, frame(3, "c")};
-            return {kind::hold, 200, ""};
+                return {mode::answer, 200, frame(3, "c")};
+            return {mode::no_answer, 200, ""};
         },
         settings);
     fixture.client.start(fixture.listener);
@@ -323,9 +326,9 @@
         {
             ++this->reads;
             return {
-                kind::answer, 200, frame(static_cast<unsigned>(reads), "x")};
+                mode::answer, 200, frame(static_cast<unsigned>(reads), "x")};
         }
-        return {kind::answer, 200, "{\"first_offset\":5,\"count\":1}"};
+        return {mode::answer, 200, "{\"first_offset\":5,\"count\":1}"};
     }
 
     bool wait_until_read(std::size_t entries)
@@ -392,11 +395,11 @@
 {
     // Each fault once, then the correct answer.
     std::vector<scripted_answer> script{
-        {kind::close, 200, ""},
-        {kind::answer, 503, "{}"},
-        {kind::answer, 200, frame(2, "gap")},
-        {kind::cut, 200, frame(1, "a")},
-        {kind::answer, 200, frame(1, "a")}};
+        {mode::disconnect, 200, ""},
+        {mode::answer, 503, "{}"},
+        {mode::answer, 200, frame(2, "gap")},
+        {mode::truncate, 200, frame(1, "a")},
+        {mode::answer, 200, frame(1, "a")}};
     std::size_t next = 0;
     log_client_fixture fixture(
         [&](const scripted_server::request& request) -> scripted_answer
@@ -405,7 +408,7 @@
                 return status_answer(1, 2);
             if (next < script.size())
                 return script[next++];
-            return {kind::hold, 200, ""};
+            return {mode::no_answer, 200, ""};
         });
     fixture.client.start(fixture.listener);
     cr_assert(fixture.wait_until(
@@ -437,10 +440,10 @@
             if (has_path(request, "/v1/status"))
                 return status_answer(1, 9);
             if (has_path(request, "/v1/read?from=1&"))
-                return {kind::answer, 410, "{\"first_offset\":8}"};
+                return {mode::answer, 410, "{\"first_offset\":8}"};
             if (has_path(request, "/v1/read?from=8&"))
-                return {kind::answer, 200, frame(8, "h")};
-            return {kind::hold, 200, ""};
+                return {mode::answer, 200, frame(8, "h")};
+            return {mode::no_answer, 200, ""};
         });
     fixture.client.start(fixture.listener);
     cr_assert(fixture.wait_until(
--- a/tests/unit/log_client/platform_test.cpp
+++ b/tests/unit/log_client/platform_test.cpp
@@ -27,14 +27,14 @@
 
 namespace asio = boost::asio;
 namespace leaf = boost::leaf;
-using kind = scripted_answer::kind;
+using mode = scripted_answer::mode;
 
-std::string text_of(const asio::ip::tcp::endpoint& endpoint)
+std::string to_text(const asio::ip::tcp::endpoint& endpoint)
 {
     return (std::ostringstream() << endpoint).str();
 }
 
-credentials one_credential(const std::string& secret = "secret")
+credentials make_credentials(const std::string& secret = "secret")
 {
     std::istringstream in("e1 = " + secret + "\n");
     return leaf::try_handle_all(
@@ -49,16 +49,16 @@
         });
 }
 
-/// An engine client against a scripted engine.
-struct engine_bench
+/// A client of an engine with scripted answers.
+struct engine_fixture
 {
-    explicit engine_bench(scripted_server::script script)
+    explicit engine_fixture(scripted_server::script script)
         : server(context, std::move(script))
-        , client(context.get_executor(), options(), one_credential(), meter)
+        , client(context.get_executor(), options(), make_credentials(), meter)
     {
     }
 
-    ~engine_bench()
+    ~engine_fixture()
     {
         this->client.cancel_all();
         this->server.stop();
@@ -73,19 +73,20 @@
         return result;
     }
 
-    std::optional<order_outcome> order(order_action action, bool allowed = true)
+    std::optional<order_outcome>
+    order(order_action action, bool may_send = true)
     {
-        engine_order what;
-        what.address = text_of(this->server.endpoint());
-        what.action = action;
-        what.checks_credential = true;
+        engine_order order;
+        order.address = to_text(this->server.endpoint());
+        order.action = action;
+        order.checks_credential = true;
         std::optional<order_outcome> result;
         this->client.send_order(
-            what,
+            order,
             "e1",
-            [allowed]
+            [may_send]
             {
-                return allowed;
+                return may_send;
             },
             [&](order_outcome outcome)
             {
@@ -106,19 +107,19 @@
     http_engine_client client;
 };
 
-std::optional<order_outcome>
-order_against(scripted_answer answer, order_action action = order_action::load)
+std::optional<order_outcome> order_outcome_for(
+    scripted_answer answer, order_action action = order_action::load)
 {
-    engine_bench bench(
+    engine_fixture fixture(
         [answer](const scripted_server::request&)
         {
             return answer;
         });
-    return bench.order(action);
+    return fixture.order(action);
 }
 
-/// @return Whether the text is refused.
-bool report_is_refused(std::string_view body)
+/// @return Whether parsing the body as an engine report fails.
+bool is_report_rejected(std::string_view body)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool>
@@ -138,73 +139,74 @@
 
 } // namespace
 
-Test(engine_client, each_answer_has_its_outcome)
+Test(engine_client, each_response_has_the_expected_outcome)
 {
     using enum order_outcome;
-    cr_expect(order_against({kind::answer, 202, ""}) == accepted);
+    cr_expect(order_outcome_for({mode::answer, 202, ""}) == accepted);
     cr_expect(
-        order_against(
-            {kind::answer, 409, R"({"error":"stale_fence","highest":9})"}) ==
+        order_outcome_for(
+            {mode::answer, 409, R"({"error":"stale_fence","highest":9})"}) ==
         stale_fence);
-    cr_expect(order_against({kind::answer, 409, ""}) == refused);
-    cr_expect(order_against({kind::answer, 507, ""}) == out_of_memory);
-    cr_expect(order_against({kind::answer, 401, ""}) == refused);
-    cr_expect(order_against({kind::answer, 404, ""}) == refused);
+    cr_expect(order_outcome_for({mode::answer, 409, ""}) == refused);
+    cr_expect(order_outcome_for({mode::answer, 507, ""}) == out_of_memory);
+    cr_expect(order_outcome_for({mode::answer, 401, ""}) == refused);
+    cr_expect(order_outcome_for({mode::answer, 404, ""}) == refused);
     cr_expect(
-        order_against({kind::answer, 404, ""}, order_action::unload) ==
+        order_outcome_for({mode::answer, 404, ""}, order_action::unload) ==
         not_found);
-    cr_expect(order_against({kind::answer, 503, ""}) == unknown);
-    cr_expect(order_against({kind::close, 0, ""}) == unknown);
-    cr_expect(order_against({kind::hold, 0, ""}) == unknown);
+    cr_expect(order_outcome_for({mode::answer, 503, ""}) == unknown);
+    cr_expect(order_outcome_for({mode::disconnect, 0, ""}) == unknown);
+    cr_expect(order_outcome_for({mode::no_answer, 0, ""}) == unknown);
 }
 
-Test(engine_client, an_order_whose_lease_lapsed_never_leaves)
+Test(engine_client, an_order_that_may_not_be_sent_is_not_sent)
 {
-    engine_bench bench(
+    engine_fixture fixture(
         [](const scripted_server::request&)
         {
-            return scripted_answer{kind::answer, 202, ""};
+            return scripted_answer{mode::answer, 202, ""};
         });
     cr_expect(
-        bench.order(order_action::load, false) == order_outcome::not_sent);
-    cr_expect(bench.server.requests.empty());
-    // The connection is kept: the next order is asked about again.
-    cr_expect(bench.order(order_action::load) == order_outcome::accepted);
+        fixture.order(order_action::load, false) == order_outcome::not_sent);
+    cr_expect(fixture.server.requests.empty());
+    // The connection is kept. Whether it may be sent is checked again for each
+    // order.
+    cr_expect(fixture.order(order_action::load) == order_outcome::accepted);
     cr_expect(
-        bench.order(order_action::load, false) == order_outcome::not_sent);
-    cr_expect(bench.server.requests.size() == 1);
-    cr_expect(bench.server.connections == 1);
+        fixture.order(order_action::load, false) == order_outcome::not_sent);
+    cr_expect(fixture.server.requests.size() == 1);
+    cr_expect(fixture.server.connections == 1);
 }
 
-Test(engine_client, an_unreachable_engine_gets_nothing)
+Test(engine_client, an_unreachable_engine_is_reported)
 {
-    engine_bench bench(
+    engine_fixture fixture(
         [](const scripted_server::request&)
         {
             return scripted_answer();
         });
-    const std::string address = text_of(bench.server.endpoint());
-    bench.server.stop();
-    engine_order what;
-    what.address = address;
+    const std::string address = to_text(fixture.server.endpoint());
+    fixture.server.stop();
+    engine_order order;
+    order.address = address;
     std::optional<order_outcome> result;
     std::optional<engine_report> report;
-    bench.client.send_order(
-        what,
+    fixture.client.send_order(
+        order,
         "e1",
         {},
         [&](order_outcome outcome)
         {
             result = outcome;
         });
-    bench.client.read_state(
+    fixture.client.read_state(
         {engine_id(4), address},
         [&](engine_report read)
         {
             report = std::move(read);
         });
     cr_assert(run_until(
-        bench.context,
+        fixture.context,
         [&]
         {
             return result && report;
@@ -214,25 +216,25 @@
     cr_expect(report->engine == engine_id(4));
 }
 
-Test(engine_client, shows_the_credential_where_it_is_checked)
+Test(engine_client, sends_the_credential_to_engines_that_check_it)
 {
-    engine_bench bench(
+    engine_fixture fixture(
         [](const scripted_server::request&)
         {
-            return scripted_answer{kind::answer, 202, ""};
+            return scripted_answer{mode::answer, 202, ""};
         });
-    bench.order(order_action::load);
-    cr_assert(bench.server.requests.size() == 1);
-    const auto shown = bench.server.requests[0]["Authorization"];
+    fixture.order(order_action::load);
+    cr_assert(fixture.server.requests.size() == 1);
+    const auto shown = fixture.server.requests[0]["Authorization"];
     cr_expect(shown == "Bearer secret");
-    bench.client.show(one_credential("renewed"));
-    bench.order(order_action::load);
-    cr_assert(bench.server.requests.size() == 2);
-    const auto renewed = bench.server.requests[1]["Authorization"];
+    fixture.client.show(make_credentials("renewed"));
+    fixture.order(order_action::load);
+    cr_assert(fixture.server.requests.size() == 2);
+    const auto renewed = fixture.server.requests[1]["Authorization"];
     cr_expect(renewed == "Bearer renewed");
 }
 
-Test(platform_messages, a_report_is_read_with_missing_fields)
+Test(platform_messages, a_report_with_missing_fields_is_read)
 {
     constexpr std::string_view body =
         R"({"engine":"e1","incarnation":17,"memory_used":5,
@@ -262,24 +264,27 @@
         });
 }
 
-Test(platform_messages, a_report_that_hides_residents_is_refused)
+Test(
+    platform_messages, a_report_with_missing_or_malformed_residents_is_rejected)
 {
-    cr_expect(report_is_refused(""));
-    cr_expect(report_is_refused("[]"));
-    cr_expect(report_is_refused("{}"));
-    cr_expect(report_is_refused(R"({"residents":[1]})"));
-    cr_expect(report_is_refused(R"({"residents":[{"state":"new"}]})"));
-    cr_expect(!report_is_refused(R"({"residents":[]})"));
+    cr_expect(is_report_rejected(""));
+    cr_expect(is_report_rejected("[]"));
+    cr_expect(is_report_rejected("{}"));
+    cr_expect(is_report_rejected(R"({"residents":[1]})"));
+    cr_expect(is_report_rejected(R"({"residents":[{"state":"new"}]})"));
+    cr_expect(!is_report_rejected(R"({"residents":[]})"));
 }
 
-Test(engine_client, reads_cache_events_on_from_the_last_and_anew_after_restart)
+Test(
+    engine_client,
+    continues_reading_cache_events_and_starts_again_after_a_restart)
 {
-    engine_bench bench(
+    engine_fixture fixture(
         [](const scripted_server::request& call)
         {
             const bool first = call.target().ends_with("from=1");
             return scripted_answer{
-                kind::answer,
+                mode::answer,
                 200,
                 first ? R"({"next":8,"events":[
                          {"seq":6,"prefix":"00000000000000ff","cached":true},
@@ -292,15 +297,15 @@
     const auto read = [&](std::uint64_t incarnation)
     {
         std::optional<cache_report> report;
-        bench.client.read_cache_events(
-            {engine_id(4), text_of(bench.server.endpoint())},
+        fixture.client.read_cache_events(
+            {engine_id(4), to_text(fixture.server.endpoint())},
             incarnation,
-            [&](const cache_report& one)
+            [&](const cache_report& received)
             {
-                report = one;
+                report = received;
             });
         cr_assert(run_until(
-            bench.context,
+            fixture.context,
             [&]
             {
                 return report.has_value();
@@ -311,18 +316,20 @@
     const cache_report first = read(17);
     cr_expect(first.engine == engine_id(4) && first.incarnation == 17);
     cr_expect(first.from == 0 && first.next == 8);
-    cr_assert(first.events.size() == 2, "what is in bad form counts as lost");
+    cr_assert(first.events.size() == 2, "malformed events are skipped");
     cr_expect(first.events[0].prefix == 255 && first.events[0].cached);
     cr_expect(first.events[1].prefix == 0xfedcba9876543210ULL);
     cr_expect(first.events[1].sequence == 7 && !first.events[1].cached);
     cr_expect(read(17).from == 8);
-    cr_expect(read(18).from == 0, "another incarnation");
-    cr_expect(bench.server.requests.size() == 3);
-    cr_expect(bench.server.requests[1].target() == "/v1/engine/events?from=8");
-    cr_expect(bench.server.requests[2].target() == "/v1/engine/events?from=1");
+    cr_expect(read(18).from == 0, "another incarnation is read from the start");
+    cr_expect(fixture.server.requests.size() == 3);
+    cr_expect(
+        fixture.server.requests[1].target() == "/v1/engine/events?from=8");
+    cr_expect(
+        fixture.server.requests[2].target() == "/v1/engine/events?from=1");
 }
 
-Test(credentials, refuses_what_could_not_be_a_header)
+Test(credentials, rejects_values_that_are_invalid_in_a_header)
 {
     std::istringstream in("e1 = two words\n");
     const bool refused = leaf::try_handle_all(
@@ -333,7 +340,7 @@
         },
         [](const credentials_problem& problem)
         {
-            // The credential itself is never told.
+            // The message must not contain the credential.
             return problem.what.find("two") == std::string::npos;
         },
         []
@@ -346,7 +353,7 @@
 namespace
 {
 
-class vm_recorder : public vm_list_listener
+class recording_listener : public vm_list_listener
 {
 public:
     void vms_listed(std::span<const vm_entry> vms) override
@@ -367,52 +374,53 @@
 
 } // namespace
 
-// A list of one version is sent once and still counts at each look; after a
-// failure and for another version it is asked for whole.
+// An unchanged list is sent once and is reported at each poll. After a failure
+// the client requests the complete list.
 Test(vm_list_client, an_unchanged_list_is_not_sent_again)
 {
     const std::string one_vm =
         R"({"vms":[{"vm":"b1","address":"127.0.0.1:1","role":"backend",
             "state":"live","data_centre":"negombo"}]})";
-    std::vector<std::string> shown;
+    std::vector<std::string> sent_tags;
     asio::io_context context;
     scripted_server server(
         context,
         [&](const scripted_server::request& request) -> scripted_answer
         {
-            shown.emplace_back(
+            sent_tags.emplace_back(
                 request[boost::beast::http::field::if_none_match]);
-            const std::size_t polls = shown.size();
+            const std::size_t polls = sent_tags.size();
             if (polls == 4)
-                return {kind::answer, 503, "{}"};
+                return {mode::answer, 503, "{}"};
             if (polls == 2 || polls == 3)
-                return {kind::answer, 304, ""};
-            return {kind::answer, 200, one_vm, "ETag: \"7\"\r\n"};
+                return {mode::answer, 304, ""};
+            return {mode::answer, 200, one_vm, "ETag: \"7\"\r\n"};
         });
     byte_meter meter;
     http_vm_list_client::options options;
     options.poll = 1ms;
     http_vm_list_client client(
         context.get_executor(), server.endpoint(), options, meter);
-    vm_recorder seen;
-    client.start(seen);
+    recording_listener listener;
+    client.start(listener);
     cr_assert(run_until(
         context,
         [&]
         {
-            return seen.lists == 4;
+            return listener.lists == 4;
         }));
-    const std::vector<std::string> wanted{"", "\"7\"", "\"7\"", "\"7\"", ""};
-    cr_expect(std::ranges::equal(std::span(shown).first(5), wanted));
-    cr_expect(seen.failures == 1);
-    cr_expect(seen.last.size() == 1);
+    const std::vector<std::string> expected_tags{
+        "", "\"7\"", "\"7\"", "\"7\"", ""};
+    cr_expect(std::ranges::equal(std::span(sent_tags).first(5), expected_tags));
+    cr_expect(listener.failures == 1);
+    cr_expect(listener.last.size() == 1);
     client.stop();
     server.stop();
     context.restart();
     context.run_for(1s);
 }
 
-Test(vm_list_client, lists_vms_and_tells_of_failures)
+Test(vm_list_client, reports_lists_and_failures)
 {
     int polls = 0;
     asio::io_context context;
@@ -421,9 +429,9 @@
         [&](const scripted_server::request&)
         {
             if (++polls == 1)
-                return scripted_answer{kind::answer, 200, R"({"vms":[{}]})"};
+                return scripted_answer{mode::answer, 200, R"({"vms":[{}]})"};
             return scripted_answer{
-                kind::answer,
+                mode::answer,
                 200,
                 R"({"vms":[{"vm":"b1","address":"127.0.0.1:1",
                     "role":"backend","state":"leaving",
@@ -434,18 +442,18 @@
     options.poll = 1ms;
     http_vm_list_client client(
         context.get_executor(), server.endpoint(), options, meter);
-    vm_recorder seen;
-    client.start(seen);
+    recording_listener listener;
+    client.start(listener);
     cr_assert(run_until(
         context,
         [&]
         {
-            return !seen.last.empty();
+            return !listener.last.empty();
         }));
-    cr_expect(seen.failures == 1);
-    cr_expect(seen.last[0].vm == "b1");
-    cr_expect(seen.last[0].leaving);
-    cr_expect(!seen.last[0].is_router);
+    cr_expect(listener.failures == 1);
+    cr_expect(listener.last[0].vm == "b1");
+    cr_expect(listener.last[0].leaving);
+    cr_expect(!listener.last[0].is_router);
     client.stop();
     server.stop();
     context.restart();
@@ -467,8 +475,9 @@
 
 } // namespace
 
-// Tells the two clocks apart only on a machine that was once suspended.
-Test(system_clock, counts_the_time_of_a_suspended_machine)
+// Distinguishes the boot-time clock from the steady clock only on a machine
+// that was suspended since it was started.
+Test(system_clock, includes_the_time_of_a_suspended_machine)
 {
     const platform::system_clock clock;
     const instant before = boot_time();
--- a/tests/unit/log_client/scripted_server.cpp
+++ b/tests/unit/log_client/scripted_server.cpp
@@ -25,13 +25,13 @@
 
     tcp::socket socket;
     beast::flat_buffer buffer;
-    request taken;
-    std::string text;
+    request received;
+    std::string response;
 };
 
-scripted_server::scripted_server(asio::io_context& context, script wanted)
+scripted_server::scripted_server(asio::io_context& context, script answers)
     : acceptor(context, tcp::endpoint(asio::ip::address_v4::loopback(), 0))
-    , answers(std::move(wanted))
+    , answers(std::move(answers))
 {
     this->accept();
 }
@@ -50,8 +50,8 @@
 {
     beast::error_code ignored;
     this->acceptor.close(ignored);
-    for (const auto& one : this->sessions)
-        one->socket.close(ignored);
+    for (const auto& open : this->sessions)
+        open->socket.close(ignored);
     this->sessions.clear();
 }
 
@@ -63,66 +63,67 @@
             if (error)
                 return;
             ++this->connections;
-            auto on = std::make_shared<session>(std::move(accepted));
-            this->sessions.push_back(on);
-            this->read(on);
+            auto current = std::make_shared<session>(std::move(accepted));
+            this->sessions.push_back(current);
+            this->read(current);
             this->accept();
         });
 }
 
-void scripted_server::read(const std::shared_ptr<session>& on)
+void scripted_server::read(const std::shared_ptr<session>& current)
 {
-    on->taken = {};
+    current->received = {};
     http::async_read(
-        on->socket,
-        on->buffer,
-        on->taken,
-        [this, on](beast::error_code error, std::size_t)
+        current->socket,
+        current->buffer,
+        current->received,
+        [this, current](beast::error_code error, std::size_t)
         {
             if (error)
                 return;
-            this->requests.push_back(on->taken);
-            this->answer(on);
+            this->requests.push_back(current->received);
+            this->answer(current);
         });
 }
 
-void scripted_server::answer(const std::shared_ptr<session>& on)
+void scripted_server::answer(const std::shared_ptr<session>& current)
 {
-    using kind = scripted_answer::kind;
-    const scripted_answer wanted = this->answers(on->taken);
+    using mode = scripted_answer::mode;
+    const scripted_answer scripted = this->answers(current->received);
     beast::error_code ignored;
-    if (wanted.how == kind::hold)
+    if (scripted.answer_mode == mode::no_answer)
         return;
-    if (wanted.how == kind::close)
+    if (scripted.answer_mode == mode::disconnect)
     {
-        on->socket.close(ignored);
+        current->socket.close(ignored);
         return;
     }
-    on->text = "HTTP/1.1 " + std::to_string(wanted.status) + " X\r\n" +
-               wanted.headers +
-               "Content-Length: " + std::to_string(wanted.body.size()) +
-               "\r\n\r\n" + wanted.body;
-    if (wanted.how == kind::cut)
-        on->text.pop_back();
+    current->response = "HTTP/1.1 " + std::to_string(scripted.status) +
+                        " X\r\n" + scripted.headers + "Content-Length: " +
+                        std::to_string(scripted.body.size()) + "\r\n\r\n" +
+                        scripted.body;
+    if (scripted.answer_mode == mode::truncate)
+        current->response.pop_back();
     asio::async_write(
-        on->socket,
-        asio::buffer(on->text),
-        [this, on, how = wanted.how](beast::error_code error, std::size_t)
+        current->socket,
+        asio::buffer(current->response),
+        [this, current, answer_mode = scripted.answer_mode](
+            beast::error_code error, std::size_t)
         {
-            beast::error_code dropped;
-            if (how == kind::cut)
-                on->socket.close(dropped);
+            beast::error_code close_error;
+            if (answer_mode == mode::truncate)
+                current->socket.close(close_error);
             else if (!error)
-                this->read(on);
+                this->read(current);
         });
 }
 
 bool run_until(
     asio::io_context& context, const std::function<bool()>& condition)
 {
-    constexpr std::chrono::seconds generous{20};
+    constexpr std::chrono::seconds timeout{20};
     constexpr std::chrono::milliseconds step{20};
-    const auto limit = std::chrono::steady_clock::now() + generous;
+    const auto limit = std::chrono::steady_clock::now() + timeout;
     while (!condition())
     {
         if (std::chrono::steady_clock::now() > limit)
--- a/tests/unit/log_client/scripted_server.hpp
+++ b/tests/unit/log_client/scripted_server.hpp
@@ -14,24 +14,25 @@
 namespace roseworks::testing
 {
 
-/// What the scripted server does with a request.
+/// The server's behaviour for one request.
 struct scripted_answer
 {
-    enum class kind
+    enum class mode
     {
         answer,
-        close, ///< take the request, close without an answer
-        cut,   ///< close in the middle of the answer's body
-        hold   ///< never answer
+        disconnect, ///< reads the request and closes without an answer
+        truncate,   ///< closes in the middle of the answer's body
+        no_answer   ///< never answers
     };
 
-    kind how = kind::answer;
+    mode answer_mode = mode::answer;
     unsigned status = 200;
     std::string body;
-    std::string headers = {}; ///< whole lines, each with its line end
+    std::string headers = {}; ///< complete lines, each with its CRLF
 };
 
-/// An HTTP server on loopback whose answers a test decides one by one.
+/// An HTTP server on the loopback interface. A test decides on the answer to
+/// each request.
 class scripted_server
 {
 public:
@@ -44,10 +45,10 @@
 
     boost::asio::ip::tcp::endpoint endpoint() const;
 
-    /// Stops accepting and breaks all connections.
+    /// Stops accepting and closes all connections.
     void stop();
 
-    /// Requests taken so far.
+    /// Requests received so far.
     std::vector<request> requests;
     std::size_t connections = 0;
 
@@ -63,8 +64,8 @@
     std::vector<std::shared_ptr<session>> sessions;
 };
 
-/// Runs the context until the condition holds.
-/// @return Whether it held within a generous limit.
+/// Runs the context until the condition holds, for at most 20 s.
+/// @return Whether the condition holds.
 bool run_until(
     boost::asio::io_context& context, const std::function<bool()>& condition);
 
