--- a/src/adapters/log/http_log_client.cpp
+++ b/src/adapters/log/http_log_client.cpp
@@ -23,7 +23,7 @@
 namespace json = boost::json;
 namespace leaf = boost::leaf;
 
-using platform::exchange_end;
+using platform::exchange_outcome;
 using platform::http_answer;
 using platform::http_call;
 using platform::http_client;
@@ -45,7 +45,7 @@
     http_client::options result;
     result.connect_timeout = settings.connect_timeout;
     result.max_idle = 1;
-    result.secured_by = settings.secured_by;
+    result.tls_connector = settings.tls_connector;
     return result;
 }
 
@@ -66,12 +66,12 @@
 
 append_outcome outcome_of(const http_answer& answer)
 {
-    if (answer.end == exchange_end::not_sent ||
-        answer.end == exchange_end::withheld)
+    if (answer.outcome == exchange_outcome::not_sent ||
+        answer.outcome == exchange_outcome::withheld)
         return append_outcome::refused;
     if (answer.is(status_ok))
         return append_outcome::done;
-    if (answer.end == exchange_end::answered &&
+    if (answer.outcome == exchange_outcome::answered &&
         answer.status >= client_errors && answer.status < server_errors)
         return append_outcome::refused;
     return append_outcome::unknown;
@@ -191,14 +191,14 @@
     this->last_read_had_entries = false;
     if (this->is_end_stale ||
         std::chrono::steady_clock::now() >= this->next_retention_check)
-        co_await this->refresh_ends();
+        co_await this->refresh_offsets();
     if (!this->is_current(started_generation))
         co_return;
 
     std::string target = "/v1/read?from=";
     target += std::to_string(this->next_read.value);
     target += "&max_bytes=";
-    target += std::to_string(this->settings.read_bytes);
+    target += std::to_string(this->settings.max_read_bytes);
     target += "&wait_ms=";
     target += std::to_string(this->settings.poll_wait.count());
     const http_answer answer = co_await this->get(
@@ -216,7 +216,7 @@
 
 /// Reads the first and the next offset of the log: after a large read to know
 /// the lag, and at regular intervals to know the oldest offset that is kept.
-asio::awaitable<void> http_log_client::refresh_ends()
+asio::awaitable<void> http_log_client::refresh_offsets()
 {
     const std::uint64_t started_generation = this->generation;
     this->next_retention_check = std::chrono::steady_clock::now() +
@@ -273,9 +273,9 @@
 {
     const auto now = std::chrono::steady_clock::now();
     this->paced_until =
-        std::max(this->paced_until, now) + this->settings.gather;
-    const auto due =
-        this->paced_until - this->settings.burst_reads * this->settings.gather;
+        std::max(this->paced_until, now) + this->settings.read_interval;
+    const auto due = this->paced_until -
+                     this->settings.burst_reads * this->settings.read_interval;
     if (due <= now)
         co_return;
     boost::system::error_code ignored;
@@ -286,12 +286,14 @@
 
 bool http_log_client::must_read_at_once() const
 {
-    const bool behind = this->next_read < this->known_end || this->is_end_stale;
-    const bool own_unread =
+    const bool is_behind =
+        this->next_read < this->known_end || this->is_end_stale;
+    const bool has_unread_append =
         this->is_appending || this->next_read < this->own_append_end;
-    const bool hurried = std::chrono::steady_clock::now() < this->urgent_until;
-    return this->is_stopped || this->settings.gather.count() == 0 || behind ||
-           own_unread || hurried;
+    const bool is_urgent =
+        std::chrono::steady_clock::now() < this->urgent_until;
+    return this->is_stopped || this->settings.read_interval.count() == 0 ||
+           is_behind || has_unread_append || is_urgent;
 }
 
 /// Stores the end of this router's own append, so that it is read back without
@@ -329,7 +331,8 @@
             this->last_read_had_entries = !entries.empty();
             this->next_read.value += entries.size();
             this->known_end = std::max(this->known_end, this->next_read);
-            this->is_end_stale = body.size() >= this->settings.read_bytes / 2;
+            this->is_end_stale =
+                body.size() >= this->settings.max_read_bytes / 2;
             this->listener->entries_read(std::move(entries), this->known_end);
             return {};
         },
--- a/src/adapters/log/http_log_client.hpp
+++ b/src/adapters/log/http_log_client.hpp
@@ -24,7 +24,7 @@
     time on a second connection, so that a long poll never delays an append.
 
     After a read that returned entries, the next read is delayed, so that a busy
-    log costs at most one response per `gather` interval. The first
+    log costs at most one response per `read_interval`. The first
     `burst_reads` reads of a burst aren't delayed, so that entries of a mostly
     idle log are read at once. No read is delayed while the end of the log isn't
     reached, while an append of this router isn't answered or not yet read back,
@@ -46,7 +46,7 @@
         std::chrono::milliseconds append_timeout{2000};
         std::chrono::milliseconds connect_timeout{1000};
         /// Minimum interval between reads that return entries; 0: none.
-        std::chrono::milliseconds gather{0};
+        std::chrono::milliseconds read_interval{0};
         /// Number of reads of a burst that aren't delayed. The allowance grows
         /// by one read per interval.
         int burst_reads = 16;
@@ -56,9 +56,9 @@
         std::chrono::milliseconds retention_check_interval{60000};
         std::chrono::milliseconds retry_min{20};
         std::chrono::milliseconds retry_max{2000};
-        std::size_t read_bytes = std::size_t(1) << 20; ///< maximum per read
+        std::size_t max_read_bytes = std::size_t(1) << 20; ///< maximum per read
         std::uint64_t seed = 1;
-        const tls::connector* secured_by = nullptr; ///< null: plain HTTP
+        const tls::connector* tls_connector = nullptr; ///< null: plain HTTP
     };
 
     http_log_client(
@@ -77,7 +77,7 @@
     boost::asio::awaitable<void> tail();
     boost::asio::awaitable<void> read_status();
     boost::asio::awaitable<void> read_entries();
-    boost::asio::awaitable<void> refresh_ends();
+    boost::asio::awaitable<void> refresh_offsets();
     boost::asio::awaitable<void> send_pending_appends();
     boost::asio::awaitable<void> wait_for_retry();
     boost::asio::awaitable<void> delay_next_read();
--- a/src/adapters/peers/word_frame.cpp
+++ b/src/adapters/peers/checksum_frame.cpp
@@ -1,4 +1,4 @@
-#include "adapters/peers/word_frame.hpp"
+#include "adapters/peers/checksum_frame.hpp"
 
 #include <xxhash.h>
 
--- a/src/adapters/peers/copy_exchange.cpp
+++ b/src/adapters/peers/copy_exchange.cpp
@@ -1,7 +1,7 @@
 #include "adapters/peers/copy_exchange.hpp"
 
-#include "adapters/peers/word_archive.hpp"
-#include "adapters/peers/word_frame.hpp"
+#include "adapters/peers/checksum_frame.hpp"
+#include "adapters/peers/message_archive.hpp"
 #include "adapters/platform/endpoint.hpp"
 
 #include <boost/asio/buffer.hpp>
@@ -58,7 +58,7 @@
         return std::nullopt;
     try
     {
-        word_archive archive(*content);
+        message_archive archive(*content);
         Message message;
         archive(message);
         return message;
@@ -116,7 +116,7 @@
                 asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
-        if (this->active_requests >= this->settings.most_at_once)
+        if (this->active_requests >= this->settings.max_concurrent_requests)
             continue; // closes the socket; the router asks another router
         asio::co_spawn(
             this->loop,
@@ -193,8 +193,8 @@
     const bool sent = co_await this->write_frame(connection, std::move(frame));
     if (!sent)
         co_return std::nullopt;
-    const auto response =
-        co_await this->read_frame(connection, this->settings.most_bytes);
+    const auto response = co_await this->read_frame(
+        connection, this->settings.max_response_bytes);
     if (!response)
         co_return std::nullopt;
     auto copy = decode_message<directory_copy>(*response);
@@ -214,7 +214,7 @@
             frame->data() + written,
             std::min(chunk_bytes, frame->size() - written));
         error_code error;
-        to.expires_after(this->settings.silence);
+        to.expires_after(this->settings.idle_timeout);
         const std::size_t size = co_await to.async_write_some(
             chunk, asio::redirect_error(asio::use_awaitable, error));
         this->meter.sent += size;
@@ -230,7 +230,7 @@
 {
     error_code error;
     std::array<char, length_bytes> prefix{};
-    from.expires_after(this->settings.silence);
+    from.expires_after(this->settings.idle_timeout);
     co_await asio::async_read(
         from,
         asio::buffer(prefix),
@@ -243,7 +243,7 @@
     {
         const std::size_t before = bytes.size();
         bytes.resize(std::min(before + chunk_bytes, length));
-        from.expires_after(this->settings.silence);
+        from.expires_after(this->settings.idle_timeout);
         const std::size_t size = co_await from.async_read_some(
             asio::buffer(bytes.data() + before, bytes.size() - before),
             asio::redirect_error(asio::use_awaitable, error));
--- a/src/adapters/peers/copy_exchange.hpp
+++ b/src/adapters/peers/copy_exchange.hpp
@@ -33,11 +33,11 @@
         boost::asio::ip::tcp::endpoint listen;
         /// Maximum number of requests served concurrently. Further connections
         /// are closed, and their routers ask another router.
-        std::size_t most_at_once = 8;
+        std::size_t max_concurrent_requests = 8;
         std::chrono::milliseconds connect_timeout{500};
         /// An exchange is aborted when no data was transferred for this time.
-        std::chrono::milliseconds silence{1000};
-        std::size_t most_bytes = std::size_t(32) << 20;
+        std::chrono::milliseconds idle_timeout{1000};
+        std::size_t max_response_bytes = std::size_t(32) << 20;
     };
 
     /// Binds the port.
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -1,7 +1,7 @@
 #include "adapters/peers/gateway_peers.hpp"
 
-#include "adapters/peers/word_archive.hpp"
-#include "adapters/peers/word_frame.hpp"
+#include "adapters/peers/checksum_frame.hpp"
+#include "adapters/peers/message_archive.hpp"
 #include "adapters/platform/endpoint.hpp"
 
 #include <cereal/types/string.hpp>
@@ -57,7 +57,8 @@
 constexpr std::size_t max_usage_bytes = 72;
 constexpr std::size_t max_engine_bytes = 220;
 constexpr std::size_t max_limit_bytes = 64;
-constexpr std::size_t max_content_bytes = gateway_peers::most_bytes - 100;
+constexpr std::size_t max_content_bytes =
+    gateway_peers::max_datagram_bytes - 100;
 
 } // namespace
 
@@ -161,7 +162,7 @@
 {
     try
     {
-        word_archive archive(content);
+        message_archive archive(content);
         archive(message);
         return true;
     }
--- a/src/adapters/peers/gateway_peers.hpp
+++ b/src/adapters/peers/gateway_peers.hpp
@@ -34,7 +34,7 @@
     /// Maximum size of a datagram. It is below the usual MTU, so that IP
     /// doesn't fragment a datagram and the loss of one packet loses only one
     /// datagram.
-    static constexpr std::size_t most_bytes = 1400;
+    static constexpr std::size_t max_datagram_bytes = 1400;
     /// Interval between the parts of a long message to all routers. Sent at
     /// once, they would saturate the link and the last ones would be lost.
     static constexpr std::chrono::milliseconds part_interval{20};
--- a/src/adapters/peers/word_archive.hpp
+++ b/src/adapters/peers/message_archive.hpp
@@ -21,14 +21,15 @@
     allocates memory. cereal's own input archive allocates any length that a
     forged message claims.
 */
-class word_archive
-    : public cereal::InputArchive<word_archive, cereal::AllowEmptyClassElision>
+class message_archive
+    : public cereal::
+          InputArchive<message_archive, cereal::AllowEmptyClassElision>
 {
 public:
     /// @param message Not copied; has to outlive the archive.
     /// @throws cereal::Exception if the message has another byte order.
-    explicit word_archive(std::string_view message)
-        : InputArchive<word_archive, cereal::AllowEmptyClassElision>(this)
+    explicit message_archive(std::string_view message)
+        : InputArchive<message_archive, cereal::AllowEmptyClassElision>(this)
         , rest(message)
     {
         std::uint8_t is_little = 0;
@@ -58,14 +59,14 @@
 
 template <class T>
 requires std::is_arithmetic_v<T>
-void CEREAL_LOAD_FUNCTION_NAME(word_archive& archive, T& value)
+void CEREAL_LOAD_FUNCTION_NAME(message_archive& archive, T& value)
 {
     archive.read(&value, sizeof(value));
 }
 
 /// Reads any byte other than 0 as true, because a `bool` with another
 /// representation would be undefined behaviour.
-inline void CEREAL_LOAD_FUNCTION_NAME(word_archive& archive, bool& value)
+inline void CEREAL_LOAD_FUNCTION_NAME(message_archive& archive, bool& value)
 {
     std::uint8_t value_byte = 0;
     archive.read(&value_byte, sizeof(value_byte));
@@ -74,7 +75,7 @@
 
 template <class T>
 void CEREAL_LOAD_FUNCTION_NAME(
-    word_archive& archive, cereal::NameValuePair<T>& pair)
+    message_archive& archive, cereal::NameValuePair<T>& pair)
 {
     archive(pair.value);
 }
@@ -83,7 +84,7 @@
 /// byte.
 template <class T>
 void CEREAL_LOAD_FUNCTION_NAME(
-    word_archive& archive, cereal::SizeTag<T>& length)
+    message_archive& archive, cereal::SizeTag<T>& length)
 {
     archive(length.size);
     if (length.size > archive.remaining())
@@ -92,7 +93,7 @@
 
 template <class T>
 void CEREAL_LOAD_FUNCTION_NAME(
-    word_archive& archive, cereal::BinaryData<T>& bytes)
+    message_archive& archive, cereal::BinaryData<T>& bytes)
 {
     archive.read(bytes.data, static_cast<std::size_t>(bytes.size));
 }
--- a/src/adapters/platform/backoff.hpp
+++ b/src/adapters/platform/backoff.hpp
@@ -14,7 +14,7 @@
 {
 public:
     /// @param first   The first delay before the random reduction.
-    /// @param longest The maximum delay.
+    /// @param maximum The maximum delay.
     /// @param seed    Seed of the random reductions.
     backoff(
         std::chrono::milliseconds first,
--- a/src/adapters/platform/credentials.cpp
+++ b/src/adapters/platform/credentials.cpp
@@ -37,7 +37,7 @@
 {
     std::ifstream in(path);
     if (!in)
-        return leaf::new_error(credentials_problem{path, "cannot be opened"});
+        return leaf::new_error(credentials_error{path, "cannot be opened"});
     return load(in, path);
 }
 
@@ -51,7 +51,7 @@
     }
     catch (const property_tree::ini_parser_error& error)
     {
-        return leaf::new_error(credentials_problem{
+        return leaf::new_error(credentials_error{
             name, error.message() + ", line " + std::to_string(error.line())});
     }
 
@@ -60,9 +60,9 @@
     {
         if (!node.empty())
             return leaf::new_error(
-                credentials_problem{name, "unexpected section " + engine});
+                credentials_error{name, "unexpected section " + engine});
         if (!is_valid_credential(node.data()))
-            return leaf::new_error(credentials_problem{
+            return leaf::new_error(credentials_error{
                 name,
                 "credential of " + engine +
                     " is empty or contains a character other than printable "
--- a/src/adapters/platform/credentials.hpp
+++ b/src/adapters/platform/credentials.hpp
@@ -12,7 +12,7 @@
 
 /// LEAF error object: a credentials file that can't be used. Never contains a
 /// credential.
-struct credentials_problem
+struct credentials_error
 {
     std::string file;
     std::string what;
@@ -27,7 +27,7 @@
     /** Reads an INI file of `engine = credential` lines, without sections.
 
         @param path The file.
-        @return     The credentials, or a `credentials_problem`.
+        @return     The credentials, or a `credentials_error`.
     */
     static boost::leaf::result<credentials> load(const std::string& path);
 
--- a/src/adapters/platform/http_client.cpp
+++ b/src/adapters/platform/http_client.cpp
@@ -94,7 +94,8 @@
 private:
     connection_ptr take_idle()
     {
-        const auto min_idle_since = steady::now() - this->settings.idle_limit;
+        const auto min_idle_since =
+            steady::now() - this->settings.max_idle_time;
         while (!this->idle_connections.empty())
         {
             connection_ptr last = std::move(this->idle_connections.back());
@@ -127,10 +128,10 @@
         if (error)
             co_return false;
         created.stream.socket().set_option(tcp::no_delay(true), error);
-        if (this->settings.secured_by == nullptr)
+        if (this->settings.tls_connector == nullptr)
             co_return true;
         const bool is_secured =
-            co_await this->settings.secured_by->secure(created.stream);
+            co_await this->settings.tls_connector->secure(created.stream);
         co_return is_secured;
     }
 
@@ -139,12 +140,12 @@
     read(connection& from, const http_call& call, bool& is_reusable)
     {
         http_answer answer;
-        answer.end = exchange_end::no_answer;
+        answer.outcome = exchange_outcome::no_answer;
         http::response_parser<http::string_body> parser;
         parser.body_limit(this->settings.max_answer_bytes);
         beast::flat_buffer buffer;
         error_code error;
-        const auto deadline = steady::now() + call.longest;
+        const auto deadline = steady::now() + call.total_timeout;
         while (!parser.is_done() && !error)
         {
             const std::size_t received = co_await http::async_read_some(
@@ -154,7 +155,7 @@
                 asio::redirect_error(asio::use_awaitable, error));
             this->meter.received += received;
             answer.received += received;
-            if (call.longest > call.timeout)
+            if (call.total_timeout > call.timeout)
                 from.stream.expires_after(std::min<steady::duration>(
                     deadline - steady::now(), call.timeout));
         }
@@ -162,7 +163,7 @@
             co_return answer;
 
         is_reusable = parser.get().keep_alive() && buffer.size() == 0;
-        answer.end = exchange_end::answered;
+        answer.outcome = exchange_outcome::answered;
         answer.status = parser.get().result_int();
         answer.etag = std::string(parser.get()[http::field::etag]);
         answer.body = std::move(parser.get().body());
@@ -179,7 +180,7 @@
         if (call.may_send && !call.may_send())
         {
             this->return_to_pool(used, started_generation);
-            answer.end = exchange_end::withheld;
+            answer.outcome = exchange_outcome::withheld;
             co_return answer;
         }
 
@@ -194,8 +195,8 @@
         {
             const bool is_unsent =
                 sent == 0 && used->stream.secured_bytes() == bytes_before;
-            answer.end =
-                is_unsent ? exchange_end::not_sent : exchange_end::no_answer;
+            answer.outcome = is_unsent ? exchange_outcome::not_sent
+                                       : exchange_outcome::no_answer;
             co_return answer;
         }
 
--- a/src/adapters/platform/http_client.hpp
+++ b/src/adapters/platform/http_client.hpp
@@ -22,7 +22,7 @@
 {
 
 /// How one HTTP exchange ended.
-enum class exchange_end : std::uint8_t
+enum class exchange_outcome : std::uint8_t
 {
     answered, ///< a complete response was received
     not_sent, ///< no byte of the request was sent
@@ -32,7 +32,7 @@
 
 struct http_answer
 {
-    exchange_end end = exchange_end::not_sent;
+    exchange_outcome outcome = exchange_outcome::not_sent;
     unsigned status = 0;      ///< valid if `answered`
     std::string body;         ///< valid if `answered`
     std::string etag;         ///< valid if `answered`; empty: no such header
@@ -41,7 +41,8 @@
     /// @return Whether a complete response with this status was received.
     bool is(unsigned expected) const
     {
-        return this->end == exchange_end::answered && this->status == expected;
+        return this->outcome == exchange_outcome::answered &&
+               this->status == expected;
     }
 };
 
@@ -61,12 +62,12 @@
     std::string authorization; ///< empty: no such header
     std::string if_none_match; ///< empty: no such header
     http_header header;
-    /// Time limit of the whole exchange on an open connection. If `longest`
-    /// is longer, this is instead the limit for the time without a byte of the
-    /// response.
+    /// Time limit of the whole exchange on an open connection. If
+    /// `total_timeout` is longer, this limits only the time without a byte of
+    /// the response.
     std::chrono::milliseconds timeout{};
     /// Time limit of the whole response while its bytes keep arriving.
-    std::chrono::milliseconds longest{};
+    std::chrono::milliseconds total_timeout{};
     /// Called immediately before the first byte is written. The request isn't
     /// sent if it returns false. Empty: always sent.
     std::function<bool()> may_send;
@@ -86,10 +87,10 @@
     struct options
     {
         std::chrono::milliseconds connect_timeout{1000};
-        std::chrono::milliseconds idle_limit{10'000};
+        std::chrono::milliseconds max_idle_time{10'000};
         std::size_t max_idle = 2;
         std::size_t max_answer_bytes = std::size_t(32) << 20;
-        const tls::connector* secured_by = nullptr; ///< null: plain HTTP
+        const tls::connector* tls_connector = nullptr; ///< null: plain HTTP
     };
 
     http_client(
--- a/src/adapters/platform/http_engine_client.cpp
+++ b/src/adapters/platform/http_engine_client.cpp
@@ -33,9 +33,9 @@
 
 order_outcome outcome_of(const http_answer& answer, order_action action)
 {
-    if (answer.end == exchange_end::no_answer)
+    if (answer.outcome == exchange_outcome::no_answer)
         return order_outcome::unknown;
-    if (answer.end != exchange_end::answered)
+    if (answer.outcome != exchange_outcome::answered)
         return order_outcome::not_sent;
 
     switch (answer.status)
@@ -81,7 +81,7 @@
 {
 }
 
-void http_engine_client::show(credentials replacement)
+void http_engine_client::set_credentials(credentials replacement)
 {
     this->current_credentials = std::move(replacement);
 }
@@ -257,7 +257,7 @@
             return nullptr;
         http_client::options client_options;
         client_options.connect_timeout = this->settings.connect_timeout;
-        client_options.secured_by = this->settings.secured_by;
+        client_options.tls_connector = this->settings.tls_connector;
         http_client client(
             this->executor, *endpoint, client_options, this->meter);
         found = this->servers.emplace(address, server{std::move(client), now})
--- a/src/adapters/platform/http_engine_client.hpp
+++ b/src/adapters/platform/http_engine_client.hpp
@@ -31,7 +31,7 @@
         std::chrono::milliseconds connect_timeout{1000};
         /// Connections of an engine that isn't used for this time are closed.
         std::chrono::milliseconds unused_engine_timeout{120'000};
-        const tls::connector* secured_by = nullptr; ///< null: plain HTTP
+        const tls::connector* tls_connector = nullptr; ///< null: plain HTTP
     };
 
     http_engine_client(
@@ -41,7 +41,7 @@
         byte_meter& meter);
 
     /// Replaces the credentials for all orders sent from now on.
-    void show(credentials replacement);
+    void set_credentials(credentials replacement);
 
     void send_order(
         const engine_order& order,
--- a/src/adapters/platform/http_vm_list_client.cpp
+++ b/src/adapters/platform/http_vm_list_client.cpp
@@ -26,7 +26,7 @@
 connection_options(const http_vm_list_client::options& settings)
 {
     http_client::options result;
-    result.secured_by = settings.secured_by;
+    result.tls_connector = settings.tls_connector;
     return result;
 }
 
--- a/src/adapters/platform/http_vm_list_client.hpp
+++ b/src/adapters/platform/http_vm_list_client.hpp
@@ -18,9 +18,9 @@
 /** Polls the platform's VM list over HTTP.
 
     A server that supports `ETag` and `If-None-Match` doesn't send an unchanged
-    list again. The listener then receives the last list again, because it
-    counts the successful polls. All calls run on the executor's single thread,
-    and the object must outlive the last run of its context.
+    list again. The listener then receives the last list again, because each
+    successful poll confirms the list. All calls run on the executor's single
+   thread, and the object must outlive the last run of its context.
 */
 class http_vm_list_client final : public vm_list_port
 {
@@ -29,7 +29,7 @@
     {
         std::chrono::milliseconds poll{1000};
         std::chrono::milliseconds timeout{2000};
-        const tls::connector* secured_by = nullptr; ///< null: plain HTTP
+        const tls::connector* tls_connector = nullptr; ///< null: plain HTTP
     };
 
     http_vm_list_client(
--- a/src/app/control_thread.cpp
+++ b/src/app/control_thread.cpp
@@ -64,7 +64,7 @@
               std::move(settings.shown),
               [this](const platform::credentials& read)
               {
-                  this->engines.show(read);
+                  this->engines.set_credentials(read);
               },
               sink))
     , vm_list(make_vm_list(this->context, settings, this->meter))
--- a/src/app/credentials_reload.cpp
+++ b/src/app/credentials_reload.cpp
@@ -21,7 +21,7 @@
         {
             return platform::credentials::load(file);
         },
-        [](const platform::credentials_problem& problem) -> loaded
+        [](const platform::credentials_error& problem) -> loaded
         {
             return leaf::new_error(file_problem{
                 "engines.credentials_file", problem.file, problem.what});
--- a/src/app/gateway/gateway_options.cpp
+++ b/src/app/gateway/gateway_options.cpp
@@ -77,7 +77,7 @@
     constexpr double most = 8;
     copy_exchange::options made;
     made.listen = tcp_endpoint(settings.listen.peers);
-    made.most_at_once = static_cast<std::size_t>(
+    made.max_concurrent_requests = static_cast<std::size_t>(
         std::clamp(settings.vm.link_mbps / mbps_for_each, fewest, most));
     return made;
 }
--- a/src/app/graph_options.cpp
+++ b/src/app/graph_options.cpp
@@ -129,11 +129,11 @@
 
     result.log_server = tcp_endpoint(from.log.address);
     result.log.poll_wait = from.log.poll_wait;
-    result.log.gather = from.log.gather;
+    result.log.read_interval = from.log.gather;
     result.log.append_timeout = from.log.append_timeout;
     result.log.connect_timeout = from.traffic.connect_timeout;
     result.log.retry_max = from.log.retry_max;
-    result.log.read_bytes = from.log.max_batch_bytes;
+    result.log.max_read_bytes = from.log.max_batch_bytes;
     result.log.seed = seeds.seed;
 
     result.engines.order_timeout = from.engines.order_timeout;
--- a/src/app/graph_options.hpp
+++ b/src/app/graph_options.hpp
@@ -28,7 +28,7 @@
 
     @param settings Checked settings.
     @param seeds    Of this run.
-    @return         The options, or a `settings_problems`, `credentials_problem`
+    @return         The options, or a `settings_problems`, `credentials_error`
                     or `mac_key_error`.
 */
 boost::leaf::result<control_options> make_control_options(
--- a/src/app/router/main.cpp
+++ b/src/app/router/main.cpp
@@ -51,7 +51,7 @@
             std::cerr << problems;
             return app::status_usage;
         },
-        [](const platform::credentials_problem& problem)
+        [](const platform::credentials_error& problem)
         {
             std::cerr << problem.file << ": " << problem.what << '\n';
             return app::status_usage;
--- a/src/app/router_app.cpp
+++ b/src/app/router_app.cpp
@@ -436,9 +436,9 @@
 
 control_options router_app::with_tls(control_options wanted) const
 {
-    wanted.log.secured_by = this->platform_tls.connecting();
-    wanted.vm_list.secured_by = this->platform_tls.connecting();
-    wanted.engines.secured_by = this->backend_tls.connecting();
+    wanted.log.tls_connector = this->platform_tls.connecting();
+    wanted.vm_list.tls_connector = this->platform_tls.connecting();
+    wanted.engines.tls_connector = this->backend_tls.connecting();
     return wanted;
 }
 
--- a/src/app/router_app.hpp
+++ b/src/app/router_app.hpp
@@ -50,7 +50,7 @@
 
         @param settings Checked settings.
         @return         The router, or a `startup_error`, `settings_problems`,
-                        `credentials_problem` or `mac_key_error`.
+                        `credentials_error` or `mac_key_error`.
     */
     static boost::leaf::result<std::unique_ptr<router_app>>
     make(const settings::router_settings& settings);
--- a/tests/fuzz/fuzz_quota_words.cpp
+++ b/tests/fuzz/fuzz_quota_words.cpp
@@ -2,7 +2,7 @@
 // side and by what it knows of servers: whatever comes, a bucket holds a number
 // that its limit allows, and a server's limit is a pace.
 
-#include "adapters/peers/word_archive.hpp"
+#include "adapters/peers/message_archive.hpp"
 #include "core/pacing/server_limits.hpp"
 #include "core/quota/quota_accountant.hpp"
 #include "core/quota/quota_client.hpp"
@@ -36,7 +36,7 @@
 {
     try
     {
-        word_archive archive(bytes);
+        message_archive archive(bytes);
         Word word;
         archive(word);
         return word;
--- a/tests/unit/log_client/http_log_client_test.cpp
+++ b/tests/unit/log_client/http_log_client_test.cpp
@@ -313,7 +313,7 @@
     {
         http_log_client::options result = options();
         result.burst_reads = burst_reads;
-        result.gather = 1h;
+        result.read_interval = 1h;
         result.urgent_period = 1h;
         return result;
     }
--- a/tests/unit/log_client/platform_test.cpp
+++ b/tests/unit/log_client/platform_test.cpp
@@ -227,7 +227,7 @@
     cr_assert(fixture.server.requests.size() == 1);
     const auto shown = fixture.server.requests[0]["Authorization"];
     cr_expect(shown == "Bearer secret");
-    fixture.client.show(make_credentials("renewed"));
+    fixture.client.set_credentials(make_credentials("renewed"));
     fixture.order(order_action::load);
     cr_assert(fixture.server.requests.size() == 2);
     const auto renewed = fixture.server.requests[1]["Authorization"];
@@ -338,7 +338,7 @@
             BOOST_LEAF_CHECK(credentials::load(in, "test"));
             return false;
         },
-        [](const credentials_problem& problem)
+        [](const credentials_error& problem)
         {
             // The message must not contain the credential.
             return problem.what.find("two") == std::string::npos;
--- a/tests/unit/tls/test_connector.cpp
+++ b/tests/unit/tls/test_connector.cpp
@@ -20,7 +20,7 @@
 #include <criterion/criterion.h>
 
 using namespace roseworks;
-using roseworks::platform::exchange_end;
+using roseworks::platform::exchange_outcome;
 using roseworks::platform::http_answer;
 using roseworks::platform::http_client;
 using roseworks::test::test_certificate;
@@ -113,7 +113,7 @@
     static http_client::options options(const tls::connector* by)
     {
         http_client::options wanted;
-        wanted.secured_by = by;
+        wanted.tls_connector = by;
         return wanted;
     }
 
@@ -234,8 +234,8 @@
     const auto shown = server_of(server);
     const auto trusting = client_of(ca);
     exchange_fixture fixture(*shown, *trusting);
-    cr_assert_eq(fixture.call().end, exchange_end::not_sent);
-    cr_assert_eq(fixture.call().end, exchange_end::not_sent);
+    cr_assert_eq(fixture.call().outcome, exchange_outcome::not_sent);
+    cr_assert_eq(fixture.call().outcome, exchange_outcome::not_sent);
     cr_assert_eq(fixture.accepted, 2);
     cr_assert_eq(fixture.pieces, 0);
     cr_assert_eq(fixture.failures.size(), 1U, "told once");
@@ -293,7 +293,7 @@
     for (const context_source* refused : {without.get(), wrong.get()})
     {
         exchange_fixture fixture(*shown, *refused);
-        cr_assert_neq(fixture.call().end, exchange_end::answered);
+        cr_assert_neq(fixture.call().outcome, exchange_outcome::answered);
         cr_assert_eq(fixture.pieces, 0);
     }
     exchange_fixture fixture(*shown, *right);
@@ -318,7 +318,7 @@
     exchange_fixture after(*shown_next, *trusting);
     cr_assert(after.call().is(200));
     exchange_fixture old(*shown, *trusting);
-    cr_assert_eq(old.call().end, exchange_end::not_sent);
+    cr_assert_eq(old.call().outcome, exchange_outcome::not_sent);
 }
 
 Test(connector, names_the_file_that_cannot_be_used)
--- a/tests/unit/users_platform/test_copy_exchange.cpp
+++ b/tests/unit/users_platform/test_copy_exchange.cpp
@@ -59,8 +59,11 @@
 
 struct exchange_fixture
 {
-    explicit exchange_fixture(std::size_t most_at_once = 8)
-        : provider(this->loop, options(this->loop, most_at_once), this->meter)
+    explicit exchange_fixture(std::size_t max_concurrent_requests = 8)
+        : provider(
+              this->loop,
+              options(this->loop, max_concurrent_requests),
+              this->meter)
         , requester(this->loop, options(this->loop, 8), this->meter)
     {
         this->provider.serve(this->topics);
@@ -70,7 +73,7 @@
     {
         copy_exchange::options result;
         result.listen = free_endpoint(on);
-        result.most_at_once = most;
+        result.max_concurrent_requests = most;
         if (this->provider_address.empty())
             this->provider_address = to_text(result.listen);
         return result;
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -1,6 +1,6 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/peers/gateway_peers.hpp"
-#include "adapters/peers/word_archive.hpp"
+#include "adapters/peers/message_archive.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
@@ -264,7 +264,7 @@
         if (error)
             break;
         ++packets;
-        cr_assert_leq(size, gateway_peers::most_bytes);
+        cr_assert_leq(size, gateway_peers::max_datagram_bytes);
     }
     cr_assert_geq(packets, 15);
 }
@@ -327,7 +327,7 @@
 }
 
 /// Guards against a forged length that makes the reader allocate memory.
-Test(word_archive, a_length_beyond_the_message_is_rejected)
+Test(message_archive, a_length_beyond_the_message_is_rejected)
 {
     std::ostringstream out;
     {
@@ -336,12 +336,12 @@
     }
     std::string update = out.str();
     std::string read;
-    word_archive whole(update);
+    message_archive whole(update);
     whole(read);
     cr_assert_eq(read, "r1");
     // The length follows the byte order mark. This sets its highest byte.
     update[7] = '\x7f';
-    word_archive forged(update);
+    message_archive forged(update);
     cr_assert_throw(forged(read), cereal::Exception);
-    cr_assert_throw(word_archive(std::string_view()), cereal::Exception);
+    cr_assert_throw(message_archive(std::string_view()), cereal::Exception);
 }
