--- a/src/adapters/peers/udp_peers.hpp
+++ b/src/adapters/peers/udp_peers.hpp
@@ -96,7 +96,7 @@
 private:
     static constexpr std::size_t max_datagram_bytes = 2048;
     /// Minimum interval between two events about rejected datagrams. It limits
-    /// the log's growth, because invalid datagrams cost their sender nothing.
+    /// the log's growth, because anybody can send invalid datagrams.
     static constexpr duration rejection_report_interval =
         std::chrono::seconds(10);
 
--- a/src/adapters/platform/credentials.cpp
+++ b/src/adapters/platform/credentials.cpp
@@ -65,8 +65,8 @@
             return leaf::new_error(credentials_error{
                 name,
                 "credential of " + engine +
-                    " is empty or contains a character other than printable "
-                    "ASCII without spaces"});
+                    " is empty or contains spaces, control characters or "
+                    "non-ASCII characters"});
         result.credentials_by_engine.emplace(engine, node.data());
     }
     return result;
--- a/src/adapters/platform/http_vm_list_client.hpp
+++ b/src/adapters/platform/http_vm_list_client.hpp
@@ -19,8 +19,10 @@
 
     A server that supports `ETag` and `If-None-Match` doesn't send an unchanged
     list again. The listener then receives the last list again, because each
-    successful poll confirms the list. All calls run on the executor's single
-   thread, and the object must outlive the last run of its context.
+    successful poll confirms the list.
+
+    All calls run on the executor's single thread, and the object must outlive
+    the last run of its context.
 */
 class http_vm_list_client final : public vm_list_port
 {
@@ -50,8 +52,8 @@
     http_client client;
     boost::asio::steady_timer timer;
     vm_list_listener* listener = nullptr;
-    std::string etag;               ///< entity tag of `last`; empty: none
-    std::vector<vm_entry> last_vms; ///< empty if `version` is empty
+    std::string etag;               ///< of `last_vms`; empty: none
+    std::vector<vm_entry> last_vms; ///< empty if `etag` is empty
     bool is_stopped = false;
 };
 
--- a/src/adapters/platform/platform_messages.hpp
+++ b/src/adapters/platform/platform_messages.hpp
@@ -39,8 +39,7 @@
 */
 boost::leaf::result<cache_report> read_cache_report(std::string_view body);
 
-/** Reads the platform's VM list. A VM with an unknown role or state is an
-   error.
+/** Reads the platform's VM list. An unknown role or state is an error.
 
     @param body JSON; untrusted.
     @return     The VMs, or a `message_error`.
--- a/tests/unit/log_client/platform_test.cpp
+++ b/tests/unit/log_client/platform_test.cpp
@@ -159,7 +159,7 @@
     cr_expect(order_outcome_for({mode::no_answer, 0, ""}) == unknown);
 }
 
-Test(engine_client, an_order_that_may_not_be_sent_is_not_sent)
+Test(engine_client, an_order_whose_lease_has_expired_is_not_sent)
 {
     engine_fixture fixture(
         [](const scripted_server::request&)
@@ -375,7 +375,7 @@
 } // namespace
 
 // An unchanged list is sent once and is reported at each poll. After a failure
-// the client requests the complete list.
+// and for another version, the complete list is sent.
 Test(vm_list_client, an_unchanged_list_is_not_sent_again)
 {
     const std::string one_vm =
