--- a/src/adapters/peers/checksum_frame.cpp
+++ b/src/adapters/peers/checksum_frame.cpp
@@ -13,8 +13,8 @@
 
 std::uint64_t checksum(std::string_view content)
 {
-    constexpr std::uint64_t seed =
-        0x726F7365; // rejects frames of other protocols
+    // A seed of its own rejects frames of other protocols.
+    constexpr std::uint64_t seed = 0x726F7365;
     return XXH64(content.data(), content.size(), seed);
 }
 
--- a/src/adapters/peers/copy_exchange.hpp
+++ b/src/adapters/peers/copy_exchange.hpp
@@ -50,7 +50,7 @@
     void serve(directory_copy_source& source) override;
     void fetch(
         std::string_view address,
-        const copy_ask& request_copy,
+        const copy_ask& request,
         copy_done done) override;
     void stop() override;
 
