--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -24,25 +24,27 @@
 
 using std::chrono::milliseconds;
 
-/// The load balancer asks every second and takes two misses: until then new
-/// connections still come.
+/// Time until the load balancer stops sending new connections: it probes every
+/// second and needs two failures.
 constexpr milliseconds balancer_notices{2600};
 
-/// Left of the grace time when what still runs is ended: for last answers and
-/// the process's own end.
+/// Requests still running this long before the end of the grace period are
+/// aborted, to leave time for the last responses and the process exit.
 constexpr milliseconds end_margin{800};
 
 constexpr milliseconds drain_look{100};
 
-/// Kept connections to a server that doesn't say how long it keeps them.
+/// Maximum idle time of a pooled connection to a server that doesn't announce
+/// its keep-alive time-out.
 constexpr milliseconds backend_idle{2500};
 
-/// A kept connection for a request that can't be sent twice: a server that
-/// closes it just then would leave it unknown whether the request ran.
+/// Maximum idle time of a pooled connection for a request that can't be sent
+/// twice: if the server closed the connection at that moment, it would be
+/// unknown whether the request ran.
 constexpr milliseconds fresh_enough{400};
 
-/// Connections open within some milliseconds; a lost packet is sent again after
-/// a second only.
+/// Connections open within some milliseconds, unless a packet is lost, which is
+/// retransmitted only after a second.
 constexpr milliseconds connect_limit{300};
 
 constexpr unsigned status_ok = 200;
@@ -320,8 +322,9 @@
 
 void gateway_app::reload()
 {
-    // All that the settings say is bound to sockets and terms of the running
-    // process; the file is checked, so that a fault shows before a restart.
+    // No setting can change in the running process, since all of them are bound
+    // to its sockets and terms. The file is only checked, so that errors in it
+    // are found before the next restart.
     const bool right = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
@@ -381,7 +384,7 @@
 
 void gateway_app::finish()
 {
-    /// For the last answers to leave.
+    // Time to send the last responses.
     constexpr milliseconds last_words{200};
     const std::size_t unfinished = this->server.connections();
     this->server.force_end();
--- a/src/app/gateway/gateway_app.hpp
+++ b/src/app/gateway/gateway_app.hpp
@@ -29,13 +29,13 @@
     std::string reason;
 };
 
-/** The gateway: one process on every VM, which forwards callers' requests to
+/** The gateway: one process on each VM, which forwards callers' requests to
     the backend servers of the platform.
 
-    Two threads: traffic on the calling one, control state on its own. SIGTERM
-    makes it not ready at once; it goes on taking and finishing requests until
-    the load balancer has seen that, and exits with 0. SIGHUP reads the settings
-    again.
+    Traffic runs on the calling thread, and the control state on a thread of its
+    own. SIGTERM starts a drain: the readiness probe fails at once, but the
+    gateway accepts and finishes requests until the load balancer has noticed,
+    and then exits with status 0. SIGHUP checks the settings file.
 */
 class gateway_app
 {
@@ -48,8 +48,8 @@
     gateway_app(const gateway_app&) = delete;
     gateway_app& operator=(const gateway_app&) = delete;
 
-    /// Serves until a signal ends it.
-    /// @return The process's exit status.
+    /// Serves requests until a signal stops the process.
+    /// @return The exit status of the process.
     int run();
 
 private:
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -16,15 +16,15 @@
 namespace
 {
 
-/// An owner that wasn't heard so long is gone; another may be there by then.
+/// An owner that hasn't announced itself for this time is considered gone.
 constexpr duration owner_lifetime = std::chrono::milliseconds(1200);
 
-/// A router that was started just now listens so long for an owner, which tells
-/// something every 250 ms, before it holds that there is none.
+/// How long a router listens for an owner after its start before it concludes
+/// that there is none. An owner sends a beacon every 250 ms.
 constexpr duration first_listening = std::chrono::milliseconds(350);
 
-/// Without an owner for so long, nothing cold is waited for any more: a new
-/// one takes over within its predecessor's term and a second.
+/// After this time without an owner, requests don't wait for models to be
+/// loaded. A new owner takes over within its predecessor's term plus a second.
 constexpr duration longest_vacancy = std::chrono::milliseconds(4000);
 
 asio::ip::udp::endpoint udp_endpoint(const settings::socket_address& address)
@@ -178,13 +178,13 @@
         });
 }
 
-void gateway_control::demand_arose(const demand& what)
+void gateway_control::demand_arose(const demand& waiting)
 {
     asio::post(
         this->loop,
-        [this, what]
+        [this, waiting]
         {
-            this->teller.arose(what);
+            this->teller.arose(waiting);
         });
 }
 
@@ -232,7 +232,7 @@
 void gateway_control::owner_lost(instant now)
 {
     this->owner.reset();
-    // That there is none is known: nothing to listen for.
+    // The loss is certain, so the initial listening period is skipped.
     this->owner_missing_since = now - first_listening;
     this->directory->owner_heard(false);
 }
@@ -292,7 +292,7 @@
 {
     if (this->owner && word.tenure < this->owner->fence)
         return;
-    const bool another = !this->owner || this->owner->name != word.owner;
+    const bool is_new_owner = !this->owner || this->owner->name != word.owner;
     const instant now = this->clock.now();
     if (word.ownership_released)
     {
@@ -306,7 +306,7 @@
         this->desk->residency_heard(engine);
     for (const announced_load_forecast& one : word.load_forecasts)
         this->desk->outlook_heard(one.model, now + duration(one.ready_in_us));
-    if (another)
+    if (is_new_owner)
         this->teller.tell_all();
 }
 
@@ -429,9 +429,9 @@
     this->desk->deployment_read(std::move(configuration));
 }
 
-void gateway_control::deployment_behind(bool is_so)
+void gateway_control::deployment_behind(bool stale)
 {
-    this->behind = is_so;
+    this->behind = stale;
 }
 
 void gateway_control::servers_listed(std::vector<server_entry> all)
@@ -482,7 +482,8 @@
 
 void gateway_control::term_ended()
 {
-    // Engines that check fencing numbers let it order until a later owner does.
+    // Engines that check fencing numbers accept this owner's orders until a
+    // later owner sends one, so placement continues after the term.
     if (!this->settings.bounds.fences_checked)
         this->placement->term_ended();
 }
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -36,11 +36,10 @@
 namespace roseworks::app
 {
 
-/** The one thread of the gateway's control state: reads the platform's store,
-    keeps the view of the deployment, and places models while this router owns
-    placement.
+/** The control thread of the gateway: reads the platform's store, maintains the
+    view of the deployment, and places models while this router owns placement.
 
-    Functions may be called from any thread.
+    Thread-safe.
 */
 class gateway_control final : private directory_listener,
                               private gateway_peer_listener
@@ -67,24 +66,27 @@
 
     void start();
 
-    /// Gives placement up, so that another router can take it at once.
+    /// Releases ownership of placement, so that another router can acquire it
+    /// at once.
     void resign();
 
-    /// A model has requests waiting here.
-    void demand_arose(const demand& what);
+    /// Requests for a servable are waiting on this router.
+    void demand_arose(const demand& waiting);
 
-    /// An engine didn't run a request for a servable that it was to hold.
+    /// An engine refused a request because it doesn't hold the servable, though
+    /// this router's view says that it does.
     void engine_refused(const std::string& servable, const std::string& engine);
 
     /// No connection to a server could be opened.
-    /// @param server id of its entry.
+    /// @param server id of its registry entry.
     void server_unreached(const std::string& server);
 
-    /// A connection broke under a request that a server may have begun.
-    /// @param server id of its entry.
+    /// The connection was lost during a request that the server may have
+    /// started.
+    /// @param server id of its registry entry.
     void connection_broke(const std::string& server, fingerprint request);
 
-    /// Ends the thread.
+    /// Stops and joins the thread.
     void stop();
 
     /// A request for a servable was sent to an engine.
@@ -93,26 +95,27 @@
         this->usage.started(servable, engine);
     }
 
-    /// It has ended there.
+    /// A request that was sent to an engine has ended.
     void run_ended(const std::string& servable, const std::string& engine);
 
-    /// An answer of a server came.
-    /// @param server id of its entry.
-    /// @param named  Requests a second that it takes; empty: it named none.
-    /// @param sent   When its request was sent.
+    /// A server answered a request.
+    /// @param server id of its registry entry.
+    /// @param named  Rate limit that the answer names, in requests per second;
+    ///               empty if it names none.
+    /// @param sent   When the request was sent.
     void server_answered(
         const std::string& server, std::optional<double> named, instant sent)
     {
         this->pace->answered(server, named, sent);
     }
 
-    /// The dispatcher needs a permit to send to a limited server.
-    void permit_needed(const permit_wanted& what)
+    /// The dispatcher needs a permit to send to a rate-limited server.
+    void permit_needed(const permit_wanted& request)
     {
-        this->pace->permit_needed(what);
+        this->pace->permit_needed(request);
     }
 
-    /// Limits of organisations.
+    /// @return The port to the limits of organisations.
     quota_port& limits()
     {
         return *this->quotas;
@@ -123,13 +126,13 @@
         return this->desk->ready();
     }
 
-    /// @return Whether another router has a newer configuration than this one.
+    /// @return Whether another router is known to have a newer configuration.
     bool is_behind() const
     {
         return this->behind;
     }
 
-    /// @return Routers thought alive, this one included.
+    /// @return The number of routers considered alive, including this one.
     std::size_t routers() const
     {
         return this->alive;
@@ -139,7 +142,7 @@
     // directory_listener
     void
     deployment_read(std::shared_ptr<const deployment> configuration) override;
-    void deployment_behind(bool is_so) override;
+    void deployment_behind(bool stale) override;
     void servers_listed(std::vector<server_entry> all) override;
     void server_read(server_entry entry) override;
     void server_removed(std::string_view id) override;
@@ -172,17 +175,17 @@
     void take_break(const connection_loss_report& word);
     void server_lost(std::string_view server);
     std::vector<std::string> router_names() const;
-    /// @return Of all routers but this one.
+    /// @return The addresses of all routers except this one.
     std::vector<std::string> other_addresses() const;
     void send_to_owner(router_report word);
 
-    /// Who owns placement, as last heard.
+    /// The owner of placement, from its latest announcement.
     struct known_owner
     {
         std::string name;
-        std::string address; ///< empty: this router
+        std::string address; ///< empty if it is this router
         std::uint64_t fence = 0;
-        instant heard;
+        instant heard; ///< when its latest announcement was received
     };
 
     settings::gateway_settings settings;
--- a/src/app/gateway/gateway_options.cpp
+++ b/src/app/gateway/gateway_options.cpp
@@ -14,17 +14,19 @@
 namespace
 {
 
-/// A VM of capacity 1; the owner's words and the store's answers to it take
-/// some Mbit/s, its planning some hundredths of a core.
+/// Cores and link (Mbit/s) of a VM of capacity 1. A placement owner needs some
+/// Mbit/s for its announcements and the answers of the store, and some
+/// hundredths of a core for planning.
 constexpr double usual_cores = 0.25;
 constexpr double usual_link = 100;
 
-/// Of an owner's link, for words to routers that don't wait for them: callers'
-/// requests have the rest.
+/// Share of the owner's link for announcements to routers that don't wait for
+/// them. The rest is for callers' requests.
 constexpr double words_share_of_link = 0.025;
 constexpr double bytes_per_mbit = 125'000;
 
-/// Of a second of a router's link, for one word to all others of what it read.
+/// Maximum size of one update from the store that a router sends to all others,
+/// as a share of what its link carries in a second.
 constexpr double told_share_of_link = 0.2;
 
 asio::ip::tcp::endpoint tcp_endpoint(const settings::socket_address& address)
@@ -71,7 +73,7 @@
 
 copy_exchange::options copy_options(const settings::gateway_settings& settings)
 {
-    /// Of a link, for one router that is given a copy.
+    // One copy is sent at a time for each 25 Mbit/s of the link, within bounds.
     constexpr double mbps_for_each = 25;
     constexpr double fewest = 1;
     constexpr double most = 8;
@@ -95,7 +97,8 @@
             settings.vm.link_mbps / usual_link),
         settings.vm.data_centre};
     made.term = std::max(made.term, settings.store.shortest_term);
-    // One read may be lost, and one takes its time.
+    // Ages are at most half of their bounds, which leaves time for one lost
+    // read and a repeat.
     constexpr std::chrono::milliseconds shortest_age{100};
     made.registry_age =
         std::max(settings.bounds.leaving * 9 / 20, shortest_age);
--- a/src/app/gateway/gateway_options.hpp
+++ b/src/app/gateway/gateway_options.hpp
@@ -10,21 +10,23 @@
 namespace roseworks::app
 {
 
-/// Of planning and of orders to engines.
+/// @return Options of placement: planning, and orders to engines.
 placement_desk::options
 placement_options(const settings::gateway_settings& settings);
 
-/// Of the calls that carry orders.
+/// @return Options of the calls that send orders to engines.
 users_platform::engine_commands::options
 command_options(const settings::gateway_settings& settings);
 
-/// Of organisations' limits.
+/// @return Options of the limits of organisations.
 quota_desk::options quota_options(const settings::gateway_settings& settings);
 
-/// Of copies for other routers: how many at once its link bears.
+/// @return Options of the exchange of copies with other routers. The link of
+///         the VM bounds how many copies are sent at once.
 copy_exchange::options copy_options(const settings::gateway_settings& settings);
 
-/// Of the platform's store, and of what is told to other routers.
+/// @return Options of the client of the platform's store, and of the updates
+///         that it passes on to other routers.
 users_platform::store_directory::options
 directory_options(const settings::gateway_settings& settings);
 
--- a/src/app/gateway/main.cpp
+++ b/src/app/gateway/main.cpp
@@ -33,7 +33,7 @@
             BOOST_LEAF_AUTO(settings, settings::load_gateway_settings(path));
             if (arguments.count("check") == 0)
                 return serve(settings, path);
-            std::cout << "settings are right\n";
+            std::cout << "settings are valid\n";
             return EXIT_SUCCESS;
         },
         [](const settings::settings_problems& problems)
@@ -48,7 +48,7 @@
         },
         []
         {
-            std::cerr << "the gateway can't start\n";
+            std::cerr << "the gateway failed to start\n";
             return EXIT_FAILURE;
         });
 }
--- a/src/app/gateway/need_teller.cpp
+++ b/src/app/gateway/need_teller.cpp
@@ -12,17 +12,19 @@
 namespace
 {
 
-/// Demand that comes together is told together.
+/// Demand that arises within this time is reported together.
 constexpr std::chrono::milliseconds needs_pause{2};
 
-/// Models that nobody uses here any more are told of together. The owner needs
-/// their places: each 0.1 s later is that much less of an engine's time.
+/// Usage that ends within this time is reported together. The owner can replace
+/// an unused model only after the report: each 0.1 s of delay wastes as much of
+/// an engine's time.
 constexpr std::chrono::milliseconds ended_pause{20};
 
-/// What still waits is told again: a datagram may have been lost.
+/// Demand that persists is reported again, since a datagram may be lost.
 constexpr duration needs_repetition = std::chrono::milliseconds(250);
 
-/// The dispatcher repeats what waits every 50 ms.
+/// Demand has ended if the dispatcher, which repeats it every 50 ms, hasn't
+/// done so for this time.
 constexpr duration need_lifetime = std::chrono::milliseconds(120);
 
 std::int64_t micros_until(instant when, instant now)
@@ -54,16 +56,18 @@
     this->ended_timer.cancel();
 }
 
-void need_teller::arose(const demand& what)
+void need_teller::arose(const demand& waiting_demand)
 {
     const instant now = this->clock.now();
-    const auto [place, added] = this->waiting.try_emplace(what.target);
+    const auto [place, added] =
+        this->waiting.try_emplace(waiting_demand.target);
     waiting_need& need = place->second;
-    const bool more = added || need.last.waiting != what.waiting ||
-                      what.earliest_objective < need.last.earliest_objective;
-    need.last = what;
+    const bool changed =
+        added || need.last.waiting != waiting_demand.waiting ||
+        waiting_demand.earliest_objective < need.last.earliest_objective;
+    need.last = waiting_demand;
     need.heard = now;
-    need.news = need.news || more;
+    need.news = need.news || changed;
     if (!need.news || std::exchange(this->needs_armed, true))
         return;
     this->needs_timer.expires_after(needs_pause);
@@ -109,7 +113,7 @@
 
 router_report need_teller::make_word()
 {
-    // Room for the parts that a long word is sent in.
+    // A long report is sent in parts, each with its own sequence number.
     constexpr std::uint64_t parts = 100;
     const auto micros = static_cast<std::uint64_t>(
         this->clock.now().time_since_epoch().count());
@@ -121,15 +125,17 @@
     return word;
 }
 
-servable_need need_teller::need_of(const demand& what, instant now) const
+servable_need
+need_teller::need_of(const demand& waiting_demand, instant now) const
 {
-    const bool lost = what.earliest_objective == instant::max();
+    const bool has_no_objective =
+        waiting_demand.earliest_objective == instant::max();
     return {
-        what.target,
-        what.waiting,
-        lost ? servable_need::no_objective
-             : micros_until(what.earliest_objective, now),
-        micros_until(what.earliest_deadline, now)};
+        waiting_demand.target,
+        waiting_demand.waiting,
+        has_no_objective ? servable_need::no_objective
+                         : micros_until(waiting_demand.earliest_objective, now),
+        micros_until(waiting_demand.earliest_deadline, now)};
 }
 
 void need_teller::tell_needs(bool all)
@@ -138,8 +144,8 @@
     router_report word = this->make_word();
     for (auto& [servable, need] : this->waiting)
     {
-        const bool over = now - need.heard > need_lifetime;
-        if (over)
+        const bool ended = now - need.heard > need_lifetime;
+        if (ended)
             word.needs.push_back({servable, 0, 0, 0});
         else if (all || need.news)
             word.needs.push_back(this->need_of(need.last, now));
--- a/src/app/gateway/need_teller.hpp
+++ b/src/app/gateway/need_teller.hpp
@@ -17,16 +17,18 @@
 namespace roseworks::app
 {
 
-/** Tells the placement owner what waits here, and what runs.
+/** Reports this router's demand (waiting requests) and usage (running requests)
+    to the placement owner.
 
-    Words may be lost: what still waits and runs is told again.
+    Reports may be lost, so current demand and usage are reported repeatedly.
 
-    Belongs to the control thread; has to outlive its context's last run.
+    Used on the control thread only. Has to outlive the last run of its
+    io_context.
 */
 class need_teller
 {
 public:
-    /// Sends a word to the owner, if there is one.
+    /// Sends a report to the owner, if one is known.
     using sender = std::function<void(router_report)>;
 
     need_teller(
@@ -38,31 +40,32 @@
 
     void stop();
 
-    /// Requests wait for a servable, as the dispatcher repeats while they do.
-    void arose(const demand& what);
+    /// Requests are waiting for a servable. The dispatcher repeats the call
+    /// while they wait.
+    void arose(const demand& waiting_demand);
 
-    /// Nothing runs of some servable on some engine any more.
+    /// The last running request for a servable on some engine has ended.
     void use_ended();
 
-    /// Tells what is due, and all uses.
+    /// Reports demand that is due, and all usage.
     void tick();
 
-    /// Tells all that waits: there is another owner.
+    /// Reports all demand, because the owner has changed.
     void tell_all();
 
-    /// @return A word without content, newer than all before.
+    /// @return An empty report with a higher sequence number than all before.
     router_report make_word();
 
 private:
-    /// What waits here for a servable.
+    /// Demand of this router for one servable.
     struct waiting_need
     {
         demand last;
-        instant heard;
-        bool news = true; ///< not told to the owner yet
+        instant heard;    ///< when the dispatcher last repeated it
+        bool news = true; ///< not reported to the owner yet
     };
 
-    servable_need need_of(const demand& what, instant now) const;
+    servable_need need_of(const demand& waiting_demand, instant now) const;
     void tell_needs(bool all);
 
     std::string name;
--- a/src/app/gateway/pace_desk.cpp
+++ b/src/app/gateway/pace_desk.cpp
@@ -102,7 +102,8 @@
     this->forget_restarted();
     this->flush();
     this->drop_moved();
-    // Back in the registry, or told of before its entry was read.
+    // The server may be back in the registry, or its limit may have been
+    // received before its entry was read.
     for (const server_limit& limit : this->limits.in_force())
     {
         if (!this->limited.contains(limit.server))
@@ -203,54 +204,55 @@
               std::llround(changed.per_second * seconds_per_minute)}});
 }
 
-void pace_desk::permit_needed(const permit_wanted& what)
+void pace_desk::permit_needed(const permit_wanted& wanted)
 {
     asio::post(
         this->loop,
-        [this, what]
+        [this, wanted]
         {
-            this->draw_permit(what);
+            this->draw_permit(wanted);
         });
 }
 
-void pace_desk::draw_permit(const permit_wanted& what)
+void pace_desk::draw_permit(const permit_wanted& wanted)
 {
     const auto found = std::ranges::find_if(
         this->limited,
-        [&what](const auto& one)
+        [&wanted](const auto& one)
         {
-            return is_same(one.second.place, what.server);
+            return is_same(one.second.place, wanted.server);
         });
     if (this->stopped || found == this->limited.end())
-        return; // the limit ended meanwhile, and the dispatcher was told
+        return; // the limit has ended, and the dispatcher was notified
     quota_request request;
     request.organisation = server_account(found->first);
     request.amount = 1;
     request.longest_wait =
-        what.waits ? duration(this->settings.patience) : duration::zero();
+        wanted.waits ? duration(this->settings.patience) : duration::zero();
     this->quotas.draw(
         std::move(request),
-        [this, server = found->first](const quota_decision& made)
+        [this, server = found->first](const quota_decision& decision)
         {
-            this->decided(server, made);
+            this->decided(server, decision);
         });
 }
 
-void pace_desk::decided(const std::string& server, const quota_decision& made)
+void pace_desk::decided(
+    const std::string& server, const quota_decision& decision)
 {
     const auto found = this->limited.find(server);
     if (found == this->limited.end())
         return;
     limited_server& one = found->second;
-    if (!made.is_allowed)
+    if (!decision.is_allowed)
     {
         const duration longest = this->settings.longest_retry;
         this->dispatch.permit_refused(
-            one.place, std::min(made.retry_after, longest));
+            one.place, std::min(decision.retry_after, longest));
         return;
     }
-    this->dispatch.permit_given(one.place, made.wait);
-    one.permit_end.expires_after(made.wait + this->settings.permit_life);
+    this->dispatch.permit_given(one.place, decision.wait);
+    one.permit_end.expires_after(decision.wait + this->settings.permit_life);
     one.permit_end.async_wait(
         [this, server](const boost::system::error_code& error)
         {
--- a/src/app/gateway/pace_desk.hpp
+++ b/src/app/gateway/pace_desk.hpp
@@ -22,34 +22,37 @@
 namespace roseworks::app
 {
 
-/** Keeps this router, together with the others, within the rate limits that
-    backend servers name: learns them from answers and other routers, and draws
-    the dispatcher's permits from one account a server, which all routers share.
+/** Keeps all routers together within the rate limits that backend servers name
+    in their answers.
 
-    Belongs to the control thread, but for `answered` and `permit_needed`; has
-    to outlive its context's last run.
+    Learns the limits from answers and from other routers. Draws the permits
+    that the dispatcher needs from an account per server, which all routers
+    share.
+
+    Used on the control thread only, except for `answered` and `permit_needed`.
+    Has to outlive the last run of its io_context.
 */
 class pace_desk
 {
 public:
     struct options
     {
-        std::string router; ///< this one's name
-        /// A permit that nothing was sent under goes to others after so long.
+        std::string router; ///< name of this router
+        /// An unused permit is returned to the shared account after this time.
         std::chrono::milliseconds permit_life{500};
-        /// A request that has no other server waits so long for a permit's
-        /// turn; one that has doesn't wait.
+        /// Maximum wait for a permit if the request has no alternative server;
+        /// otherwise it doesn't wait.
         std::chrono::milliseconds patience{1000};
-        /// A permit that was refused is asked for again after so long at most:
-        /// limits end.
+        /// Maximum delay before a refused permit is requested again, since the
+        /// limit may have ended by then.
         std::chrono::milliseconds longest_retry{1000};
     };
 
     struct notices
     {
-        /// To be sent to all other routers.
+        /// Sends limits to all other routers.
         std::function<void(const server_limit_word&)> on_word;
-        /// Requests a second that servers take now, by their ids.
+        /// Receives the limits in force, in requests per second, by server id.
         std::function<void(std::map<std::string, double, std::less<>>)>
             on_limits;
     };
@@ -66,21 +69,22 @@
 
     void stop();
 
-    /// An answer of a server came; called from any thread.
-    /// @param named Requests a second; empty: it named no limit.
+    /// A server answered a request. Called from any thread.
+    /// @param named Rate limit that the answer names, in requests per second;
+    ///              empty if it names none.
     void answered(
         const std::string& server, std::optional<double> named, instant sent);
 
-    /// The dispatcher needs a permit; called from any thread.
-    void permit_needed(const permit_wanted& what);
+    /// The dispatcher needs a permit. Called from any thread.
+    void permit_needed(const permit_wanted& wanted);
 
     void word_heard(const server_limit_word& word);
 
-    /// Servers came, went, or were started anew.
+    /// Servers were added, removed or restarted.
     void servers_changed();
 
 private:
-    /// A server that the dispatcher sends to under permits.
+    /// A server to which the dispatcher sends under permits only.
     struct limited_server
     {
         limited_server(boost::asio::io_context& loop, server_place at)
@@ -90,17 +94,17 @@
         }
 
         server_place place;
-        boost::asio::steady_timer permit_end; ///< of the permit given last
+        boost::asio::steady_timer permit_end; ///< expiry of the latest permit
     };
 
     void answered_now(
         const std::string& server, std::optional<double> named, instant sent);
-    void draw_permit(const permit_wanted& what);
-    void decided(const std::string& server, const quota_decision& made);
+    void draw_permit(const permit_wanted& wanted);
+    void decided(const std::string& server, const quota_decision& decision);
     void take_permit_back(const std::string& server);
     void flush();
     void limits_changed();
-    /// @return How grants name the server.
+    /// @return The identity under which grants refer to the server.
     server_place place_of(const serving_view::server& one) const;
     void keep(const server_limit& limit);
     void drop(const std::string& server);
@@ -119,8 +123,8 @@
     notices tell;
     server_limits limits;
     std::map<std::string, limited_server, std::less<>> limited; ///< by id
-    /// Starts of servers whose limits are known, by id: another start ends a
-    /// limit, an entry that is missing for a while doesn't.
+    /// Start times of servers with known limits, by id. A limit ends when the
+    /// server restarts, but not when its entry is missing for a while.
     std::map<std::string, std::int64_t, std::less<>> born_ms;
     boost::asio::steady_timer timer;
     std::atomic<bool> is_any_limited{false};
--- a/src/app/gateway/placement_desk.cpp
+++ b/src/app/gateway/placement_desk.cpp
@@ -16,12 +16,13 @@
 
 using std::chrono::milliseconds;
 
-/// Engines free at other moments than those that are planned for, needs grow
-/// old, idle models become free to go: looked at so often.
+/// Maximum interval between steps. A step finds engines that became free at an
+/// unplanned time, expired demand, and idle models that may be unloaded by now.
 constexpr milliseconds step_interval{20};
 
-/// Between two rounds of planning, which cost more with more engines: what
-/// comes meanwhile is planned for together.
+/// Minimum interval between two runs of the planner, in proportion to the
+/// number of engines because the cost of a run grows with it. Demand that comes
+/// meanwhile is planned for together.
 constexpr duration plan_pause_per_engine{100};
 constexpr duration shortest_plan_pause = milliseconds(1);
 constexpr duration longest_plan_pause = milliseconds(10);
@@ -65,12 +66,13 @@
     return servable_key(engine.entry.service, name);
 }
 
-/// Whether a report is that of another run at the engine's address: a start
-/// clears the count of orders. Reports lag, by an order or two at most.
+/// @return Whether a report comes from a later run at the engine's address: a
+///         restart resets the order count. A lower count alone doesn't show
+///         this, since reports lag by up to two orders.
 bool is_of_later_run(const engine_state& engine, const holdings_report& report)
 {
-    constexpr std::uint64_t lag = 2;
-    return report.orders_taken + lag < engine.orders_taken;
+    constexpr std::uint64_t max_report_lag = 2; // orders
+    return report.orders_taken + max_report_lag < engine.orders_taken;
 }
 
 std::int64_t whole_ms(duration length)
@@ -132,8 +134,9 @@
 
 void placement_desk::servers_changed()
 {
-    // Who takes placement up lists them then: thousands of servers change all
-    // the time, and all routers but one have no use for it.
+    // Only the owner tracks engines; a new owner reads the whole view.
+    // Thousands of servers change all the time, and other routers don't need
+    // this.
     if (this->at_work)
         this->list_servers();
 }
@@ -157,17 +160,17 @@
             this->view.config()->find_service(server.entry.service);
         if (service == nullptr || !service->engine || server.superseded)
             continue;
-        const bool anew = this->book.update_entry(server.entry);
-        if (anew && this->at_work)
+        const bool is_new = this->book.update_entry(server.entry);
+        if (is_new && this->at_work)
             this->examine(id, milliseconds(0));
     }
     this->book.set_rate_limits(this->named_limits);
 }
 
 void placement_desk::limits_named(
-    std::map<std::string, double, std::less<>> requests_a_second)
+    std::map<std::string, double, std::less<>> requests_per_second)
 {
-    this->named_limits = std::move(requests_a_second);
+    this->named_limits = std::move(requests_per_second);
     this->book.set_rate_limits(this->named_limits);
 }
 
@@ -175,22 +178,24 @@
 {
     if (!this->tenure)
         return false;
-    // Engines tell a later owner's orders from these, so that going on while
-    // the store can't be asked risks nothing but a refusal.
+    // If engines check fencing numbers, they refuse these orders once they have
+    // taken one of a later owner. Continuing past the term, while the store is
+    // unreachable, then risks nothing but a refusal.
     return now < this->tenure->until || this->settings.fences_checked;
 }
 
 void placement_desk::tenure_changed(std::optional<placement_tenure> held)
 {
     const bool owned = this->tenure.has_value();
-    const bool anew = held && (!owned || held->fence != this->tenure->fence);
-    // Past its term another router may have owned it for a while.
-    const bool lapsed = owned && this->clock.now() > this->tenure->until;
-    if (owned && (!held || (anew && lapsed)))
+    const bool is_new = held && (!owned || held->fence != this->tenure->fence);
+    // After the term, another router may have owned placement meanwhile.
+    const bool expired = owned && this->clock.now() > this->tenure->until;
+    if (owned && (!held || (is_new && expired)))
         this->give_up(
-            held ? "the term had lapsed" : "the store gave it to another");
+            held ? "the term has expired"
+                 : "the store no longer lists this router as the owner");
     this->tenure = held;
-    if (anew)
+    if (is_new)
         this->take_up();
     else if (held && this->at_work)
         this->words.owned_under(held->fence);
@@ -210,7 +215,7 @@
         this->list_servers();
     const bool continued = std::exchange(this->at_work, true);
     if (continued)
-        return; // the same owner under a new number: all is known
+        return; // renewed with a new number: the tracked state is still valid
     ++this->takeovers;
     this->book.take_over(
         this->settings.lease, std::exchange(this->another_owned, false));
@@ -234,7 +239,7 @@
     this->another_owned = this->another_owned || fence > this->fence();
     if (!this->tenure || fence <= this->tenure->fence)
         return;
-    this->give_up("a later owner was heard");
+    this->give_up("another router announced a later tenure");
     this->tenure.reset();
 }
 
@@ -243,7 +248,8 @@
     if (!this->needs.apply_router_report(word, this->clock.now()) ||
         !this->at_work)
         return;
-    // A need that is met already: its router hasn't heard of it.
+    // If an engine already holds the model, the router that reports demand has
+    // missed the announcement.
     for (const servable_need& need : word.needs)
     {
         for (const auto& [id, engine] : this->book.all())
@@ -349,11 +355,11 @@
     this->send_command({this->last_order, order, std::move(command), 0});
 }
 
-void placement_desk::send_command(sent_order what)
+void placement_desk::send_command(sent_order sent)
 {
-    const std::uint64_t fence = what.command.fence;
-    const instant sent = this->clock.now();
-    const engine_command command = what.command;
+    const std::uint64_t fence = sent.command.fence;
+    const instant sent_at = this->clock.now();
+    const engine_command command = sent.command;
     this->commands.send_command(
         command,
         [this, fence]
@@ -361,37 +367,37 @@
             return this->tenure && this->tenure->fence >= fence &&
                    this->owns(this->clock.now());
         },
-        [this, what = std::move(what), sent](command_end how)
+        [this, sent = std::move(sent), sent_at](command_end outcome)
         {
             if (!this->stopped)
-                this->answered(what, sent, how);
+                this->answered(sent, sent_at, outcome);
         });
 }
 
-bool placement_desk::is_pending(const sent_order& what) const
+bool placement_desk::is_pending(const sent_order& sent) const
 {
-    const engine_state* engine = this->book.find(what.order.engine);
+    const engine_state* engine = this->book.find(sent.order.engine);
     return engine != nullptr && engine->order &&
-           engine->order->number == what.number;
+           engine->order->number == sent.number;
 }
 
-bool placement_desk::repeat(const sent_order& what, command_end how)
+bool placement_desk::repeat(const sent_order& sent, command_end outcome)
 {
-    if (how != command_end::unknown || !this->at_work ||
-        what.repeats >= this->settings.most_repeats)
+    if (outcome != command_end::unknown || !this->at_work ||
+        sent.repeats >= this->settings.most_repeats)
         return false;
-    sent_order again = what;
+    sent_order again = sent;
     ++again.repeats;
     this->send_command(std::move(again));
     return true;
 }
 
 void placement_desk::answered(
-    const sent_order& what, instant sent, command_end how)
+    const sent_order& sent, instant sent_at, command_end outcome)
 {
-    const swap_order& order = what.order;
+    const swap_order& order = sent.order;
     const std::string& engine = order.engine;
-    const std::uint64_t fence = what.command.fence;
+    const std::uint64_t fence = sent.command.fence;
     const instant now = this->clock.now();
     this->events.report(
         event_id::engine_order_ended,
@@ -399,40 +405,42 @@
          {"action", to_string(order.action)},
          {"model", order.model},
          {"adapter", order.adapter},
-         {"outcome", to_string(how)},
-         {"after_ms", whole_ms(now - sent)}});
-    if (how == command_end::fenced_off && this->fence() <= fence)
+         {"outcome", to_string(outcome)},
+         {"after_ms", whole_ms(now - sent_at)}});
+    if (outcome == command_end::fenced_off && this->fence() <= fence)
     {
         this->give_up("an engine has taken a later owner's order");
         this->tenure.reset();
         return;
     }
-    // Ownership may have been lost and regained since it was sent.
-    if (!this->is_pending(what) || this->repeat(what, how))
+    // Ownership may have been lost and regained since the order was sent, and
+    // the engine may have another pending order now.
+    if (!this->is_pending(sent) || this->repeat(sent, outcome))
         return;
-    // Out of step after a repeat: the one before was taken.
-    const bool taken = what.repeats != 0 && how == command_end::out_of_step;
-    if (taken)
-        how = command_end::unknown;
-    const bool unsure = this->book.order_answered(engine, how, now);
-    if (how == command_end::wrong_server)
+    // A retry is out of step if the engine took an earlier copy.
+    const bool earlier_taken =
+        sent.repeats != 0 && outcome == command_end::out_of_step;
+    if (earlier_taken)
+        outcome = command_end::unknown;
+    const bool unconfirmed = this->book.order_answered(engine, outcome, now);
+    if (outcome == command_end::wrong_server)
     {
         this->run_is_over(engine);
         return;
     }
     if (const engine_state* state = this->book.find(engine))
         this->words.changed(engine, servable_of(*state, order));
-    if (unsure)
+    if (unconfirmed)
         this->examine(engine, this->settings.report_lag);
     this->step();
 }
 
-void placement_desk::examine(const std::string& engine, milliseconds after)
+void placement_desk::examine(const std::string& engine, milliseconds delay)
 {
     if (!this->examining.insert(engine).second)
         return;
     auto timer = std::make_shared<asio::steady_timer>(this->loop);
-    timer->expires_after(after);
+    timer->expires_after(delay);
     timer->async_wait(
         [this, engine, timer](const boost::system::error_code& error)
         {
@@ -459,7 +467,8 @@
             if (this->stopped)
                 return;
             this->examining.erase(engine);
-            // Another owner may have ordered the engine since it was read.
+            // Another owner may have sent orders to the engine since this read
+            // began.
             if (asked_in != this->takeovers)
                 this->examine(engine, milliseconds(0));
             else
--- a/src/app/gateway/placement_desk.hpp
+++ b/src/app/gateway/placement_desk.hpp
@@ -27,14 +27,16 @@
 namespace roseworks::app
 {
 
-/** Orders the engines while this router owns placement.
+/** Sends load and unload orders to the engines while this router owns
+    placement.
 
-    Every order carries the tenure's fencing number and the count of orders that
-    the engine has to have taken, so that a late one changes nothing. Before an
-    engine is ordered for the first time in a tenure, and after an order of
-    which the outcome isn't known, its report is read.
+    Each order carries the fencing number of the tenure and the number of orders
+    that the engine must have taken before, so that a delayed order has no
+    effect. An engine's report is read before its first order in a tenure, and
+    after an order with an unknown outcome.
 
-    Belongs to the control thread; has to outlive its context's last run.
+    Used on the control thread only. Has to outlive the last run of its
+    io_context.
 */
 class placement_desk
 {
@@ -44,26 +46,31 @@
         engine_tracker::options engines;
         demand_tracker::options needs;
         swap_planner::options planner;
-        /// An owner that regains an engine waits so long from its own last
-        /// order to it: two may not order it in turn.
+        /// After it regains ownership, an owner sends no order to an engine
+        /// until this time has passed since its own last order to it, so that
+        /// two owners don't order the engine alternately.
         duration lease = std::chrono::seconds(3);
-        /// Engines refuse old fencing numbers: an owner that can't reach the
-        /// store may go on until another is heard of. Where it isn't known, it
-        /// stops at its term's end: two owners could order in turn.
+        /// Whether engines refuse orders with an old fencing number. If so, an
+        /// owner that can't reach the store may continue until it hears of
+        /// another owner. Otherwise it stops at the end of its term, because
+        /// two owners could order engines alternately.
         bool fences_checked = false;
-        /// An order without an answer is sent again, so often: the count of
-        /// orders that it names lets the engine take one of them, and the late
-        /// one is refused then. Without it, who waits for the model waits for
-        /// the engine's report, half a second more.
+        /// Maximum number of retries of an order without an answer. The order
+        /// count lets the engine take only one of the copies. Without retries,
+        /// requests for the model would wait about 0.5 s longer, for the
+        /// engine's report.
         std::uint32_t most_repeats = 2;
-        /// Reports lag by some 200 ms: one read earlier shows what was before.
+        /// Delay before a report is read after an order: reports lag by about
+        /// 200 ms, and an earlier read shows the state before the order.
         std::chrono::milliseconds report_lag{250};
+        /// Delay before a failed read of a report is repeated.
         std::chrono::milliseconds examine_retry{300};
-        /// The same while the engine carries an order out: it serves nothing
-        /// new until its end is seen.
+        /// Delay before a report is read again while the engine carries out an
+        /// order. Short, because the engine gets no new work until the end of
+        /// the order is seen.
         std::chrono::milliseconds busy_retry{100};
-        /// Until an engine at whose address another run answered is looked at:
-        /// by then the registry has dropped it, mostly.
+        /// Delay before an engine is read again after another run answered at
+        /// its address. The registry has usually removed its entry by then.
         std::chrono::milliseconds wrong_server_wait{4000};
         residency_teller::options words;
     };
@@ -84,22 +91,23 @@
 
     void configured(std::shared_ptr<const deployment> configuration);
 
-    /// The registry, or what its engines hold, has changed.
+    /// The registry, or the models that engines hold, have changed.
     void servers_changed();
 
-    /// Rate limits that engines name now, in requests a second, by their ids.
-    void
-    limits_named(std::map<std::string, double, std::less<>> requests_a_second);
+    /// @param requests_per_second Rate limits that engines name, by engine id.
+    void limits_named(
+        std::map<std::string, double, std::less<>> requests_per_second);
 
     void tenure_changed(std::optional<placement_tenure> held);
 
-    /// The term has ended without a renewal, and another router may own
+    /// The term has expired without a renewal, and another router may own
     /// placement by now.
     void term_ended();
 
     void word_heard(const router_report& word);
 
-    /// Another owner with a higher fencing number was heard.
+    /// Another router announced that it owns placement with this fencing
+    /// number. A number higher than this router's ends its own tenure.
     void other_owner_heard(std::uint64_t fence);
 
     bool owns(instant now) const;
@@ -116,31 +124,33 @@
 
 private:
     void step();
-    /// An order on its way to an engine.
+    /// An order that was sent and has no outcome yet.
     struct sent_order
     {
-        std::uint64_t number = 0; ///< as in the book
+        std::uint64_t number = 0; ///< of the pending order in the tracker
         swap_order order;
         engine_command command;
         std::uint32_t repeats = 0;
     };
 
     void send(const swap_order& order);
-    void send_command(sent_order what);
-    /// @return Whether the engine's order is still this one.
-    bool is_pending(const sent_order& what) const;
-    bool repeat(const sent_order& what, command_end how);
-    void answered(const sent_order& what, instant sent, command_end how);
-    void examine(const std::string& engine, std::chrono::milliseconds after);
+    void send_command(sent_order sent);
+    /// @return Whether this is still the engine's pending order.
+    bool is_pending(const sent_order& sent) const;
+    /// @return Whether the order was sent again.
+    bool repeat(const sent_order& sent, command_end outcome);
+    void answered(const sent_order& sent, instant sent_at, command_end outcome);
+    void examine(const std::string& engine, std::chrono::milliseconds delay);
     void read_report(const std::string& engine);
     void report_read(
         const std::string& engine,
         const std::optional<holdings_report>& report);
-    /// An engine can't be reached: what it holds is loaded elsewhere.
+    /// Marks an engine as unreachable. Its models are loaded on other engines.
     void lost(const std::string& engine);
-    /// Another run answers at an engine's address.
+    /// Handles that another run answers at an engine's address.
     void run_is_over(const std::string& engine);
-    /// A router couldn't reach an engine that counts as reachable.
+    /// Checks an engine that counts as reachable, but that a router couldn't
+    /// reach.
     void look_at(const std::string& engine);
     void arm_step();
     void arm_step_in(duration wait);
@@ -155,18 +165,25 @@
     engine_command_port& commands;
     const serving_view& view;
     engine_tracker book;
-    std::map<std::string, double, std::less<>> named_limits; ///< by engine
+    /// Rate limits in requests per second, by engine.
+    std::map<std::string, double, std::less<>> named_limits;
     demand_tracker needs;
     swap_planner planner;
     residency_teller words;
     std::optional<placement_tenure> tenure;
-    bool another_owned = false;   ///< heard of since the last take-over
-    bool at_work = false;         ///< orders are given, or were until just now
-    std::uint64_t takeovers = 0;  ///< times that nothing known was trusted
-    std::uint64_t last_order = 0; ///< number of the newest order
+    /// A higher fencing number was announced since the last takeover.
+    bool another_owned = false;
+    /// Whether this router acts as the owner, also for a short time after its
+    /// term has expired.
+    bool at_work = false;
+    /// How often the tracked state was discarded because ownership was acquired
+    /// anew; tells reads of an earlier tenure from those of the present one.
+    std::uint64_t takeovers = 0;
+    std::uint64_t last_order = 0; ///< number of the latest order
     instant last_plan;
-    std::set<std::string> examining;
-    std::set<std::string> looking; ///< engines that are asked whether they live
+    std::set<std::string> examining; ///< engines with a pending report read
+    std::set<std::string>
+        looking; ///< engines with a pending reachability check
     boost::asio::steady_timer step_timer;
     bool stopped = false;
 };
--- a/src/app/gateway/quota_desk.cpp
+++ b/src/app/gateway/quota_desk.cpp
@@ -14,18 +14,19 @@
 namespace
 {
 
-/// Routers that may count, in order; all others are never asked.
+/// Number of routers that may be the accountant; no other router is asked.
 constexpr std::size_t most_accountants = 8;
 
-/// An accountant hears all others and answers at once: as one whose VM carries
-/// half as much as the strongest, or more.
+/// Minimum capacity of an accountant's VM, relative to the largest one: an
+/// accountant gets the messages of all other routers and answers each at once.
 constexpr double strong_enough = 0.5;
 
-/// Between two lines of what organisations were refused.
+/// Interval between log lines about refusals of an account.
 constexpr duration log_pause = std::chrono::seconds(1);
 
-/// The same order on each router, and another one than that of the names, so
-/// that one VM isn't the first for all that is done by one.
+/// @return The rank of a router as accountant. It is the same on all routers,
+///         and hashed so that the order differs from that of the names: a VM
+///         that comes first by name doesn't get every single-router role.
 std::uint64_t weight_of(std::string_view name)
 {
     constexpr std::uint64_t seed = 0x71756F7461;
@@ -146,22 +147,24 @@
     this->flush();
 }
 
-void quota_desk::draw(quota_request request, handler told)
+void quota_desk::draw(quota_request request, handler on_decision)
 {
     asio::post(
         this->loop,
-        [this, request = std::move(request), told = std::move(told)]
+        [this,
+         request = std::move(request),
+         on_decision = std::move(on_decision)]
         {
-            this->draw_now(request, told);
+            this->draw_now(request, on_decision);
         });
 }
 
-void quota_desk::draw_now(const quota_request& request, handler to_tell)
+void quota_desk::draw_now(const quota_request& request, handler on_decision)
 {
     if (!this->is_limited)
     {
-        // The limit is gone since the request came.
-        to_tell({0, true, {}, {}});
+        // The limit has been removed since the request arrived.
+        on_decision({0, true, {}, {}});
         return;
     }
     const std::uint64_t id = this->client.draw(
@@ -169,7 +172,7 @@
         request.amount,
         request.longest_wait,
         this->clock.now());
-    this->waiting.emplace(id, std::move(to_tell));
+    this->waiting.emplace(id, std::move(on_decision));
     this->flush();
 }
 
@@ -191,8 +194,8 @@
         for (const quota_message& message : messages)
             this->send(message);
     }
-    for (const quota_decision& made : this->client.take_decisions())
-        this->tell(made);
+    for (const quota_decision& decision : this->client.take_decisions())
+        this->tell(decision);
     this->arm();
 }
 
@@ -209,14 +212,14 @@
         this->peers.send(address->second, message.ask);
 }
 
-void quota_desk::tell(const quota_decision& made)
+void quota_desk::tell(const quota_decision& decision)
 {
-    const auto found = this->waiting.find(made.id);
+    const auto found = this->waiting.find(decision.id);
     if (found == this->waiting.end())
         return;
-    const handler one = std::move(found->second);
+    const handler on_decision = std::move(found->second);
     this->waiting.erase(found);
-    one(made);
+    on_decision(decision);
 }
 
 bool quota_desk::has_work() const
--- a/src/app/gateway/quota_desk.hpp
+++ b/src/app/gateway/quota_desk.hpp
@@ -24,20 +24,22 @@
 namespace roseworks::app
 {
 
-/** Keeps the limits of organisations, and those that backend servers name,
-    together with the other routers: asks
-    the accountant for this router's requests, and is one itself for those who
-    ask it.
+/** Enforces the limits of organisations, and the rate limits that backend
+    servers name, across all routers.
 
-    Belongs to the control thread, but for the port's functions; has to outlive
-    its context's last run.
+    One router is the accountant, which counts for all. This class asks it for
+    quota for this router's requests, and acts as the accountant for routers
+    that ask this one.
+
+    Used on the control thread only, except for the functions of the port. Has
+    to outlive the last run of its io_context.
 */
 class quota_desk final : public quota_port
 {
 public:
     struct options
     {
-        std::string router; ///< this one's name
+        std::string router; ///< name of this router
         quota_bounds bounds;
         quota_way way = quota_way::accountant;
         std::uint64_t seed = 1;
@@ -55,7 +57,7 @@
 
     void configured(const deployment& configuration);
 
-    /// Rate limits that backend servers name now.
+    /// @param all The rate limits that backend servers name, in full.
     void servers_limited(std::span<const server_limit> all);
 
     void routers_listed(std::span<const router_address> all);
@@ -63,18 +65,18 @@
     void answer_heard(const quota_answer& answer);
 
     // quota_port
-    void draw(quota_request request, handler told) override;
+    void draw(quota_request request, handler on_decision) override;
     void give_back(std::string organisation, double amount) override;
 
 private:
-    void draw_now(const quota_request& request, handler to_tell);
-    /// Sends words, tells decisions and sets the timer.
+    void draw_now(const quota_request& request, handler on_decision);
+    /// Sends messages, delivers decisions and sets the timer.
     void flush();
     void send(const quota_message& message);
-    void tell(const quota_decision& made);
+    void tell(const quota_decision& decision);
     void limits_changed();
-    /// @return Whether some account has a limit, or had one when a request
-    ///         came that still waits.
+    /// @return Whether any account has a limit, or a request still waits for a
+    ///         decision on a limit that has been removed.
     bool has_work() const;
     void arm();
     void tick();
@@ -86,7 +88,7 @@
         double used,
         double refused);
 
-    /// What had been used and refused of an account when it was last told.
+    /// Totals of an account at the time of its latest log line.
     struct tally
     {
         double used = 0;
@@ -101,14 +103,14 @@
     quota_accountant accountant;
     quota_client client;
     std::map<std::string, std::string, std::less<>> addresses; ///< by name
-    std::unordered_map<std::uint64_t, handler> waiting;        ///< by draw
+    std::unordered_map<std::uint64_t, handler> waiting;        ///< by draw id
     std::map<std::string, tally, std::less<>> told;            ///< by account
     counted_limits of_organisations;
     counted_limits of_servers;
     boost::asio::steady_timer timer;
-    std::string asked; ///< accountant that is asked
-    instant logged;
-    bool is_limited = false; ///< some account has a limit
+    std::string asked;       ///< name of the accountant in the latest log line
+    instant logged;          ///< time of the latest log line
+    bool is_limited = false; ///< whether any account has a limit
     bool stopped = false;
 };
 
--- a/src/app/gateway/residency_teller.cpp
+++ b/src/app/gateway/residency_teller.cpp
@@ -43,12 +43,12 @@
 
 void residency_teller::owned_under(std::optional<std::uint64_t> number)
 {
-    const bool anew = number && (!this->fence || this->lapsed);
+    const bool is_new_owner = number && (!this->fence || this->lapsed);
     this->fence = number;
     this->lapsed = false;
     if (!number)
         this->to_tell.clear();
-    if (anew)
+    if (is_new_owner)
         this->send(this->make_word(), this->routers());
 }
 
@@ -60,7 +60,7 @@
     this->send(this->make_word(), this->routers());
 }
 
-void residency_teller::foreseen(std::span<const load_forecast> now_expected)
+void residency_teller::foreseen(std::span<const load_forecast> latest)
 {
     const auto is_new = [this](const load_forecast& one)
     {
@@ -68,9 +68,9 @@
                    this->outlooks, one.model, &load_forecast::model) ==
                this->outlooks.end();
     };
-    const bool news = std::ranges::any_of(now_expected, is_new);
-    this->outlooks.assign(now_expected.begin(), now_expected.end());
-    if (news && this->fence)
+    const bool has_new = std::ranges::any_of(latest, is_new);
+    this->outlooks.assign(latest.begin(), latest.end());
+    if (has_new && this->fence)
         this->send(this->make_word(), this->routers());
 }
 
@@ -151,7 +151,7 @@
     const auto all = std::exchange(this->to_tell, {});
     if (!this->fence)
         return;
-    // Routers that are told the same are told together.
+    // Routers with the same set of changed engines get one announcement.
     std::map<std::set<std::string>, std::vector<std::string>> audiences;
     for (const auto& [router, changed_engines] : all)
         audiences[changed_engines].push_back(router);
--- a/src/app/gateway/residency_teller.hpp
+++ b/src/app/gateway/residency_teller.hpp
@@ -24,42 +24,50 @@
 namespace roseworks::app
 {
 
-/** Tells the routers what the engines hold, as the placement owner knows it.
+/** Announces to the routers which models the engines hold, according to the
+    placement owner.
 
-    At once to those who wait for a model or used it lately, and to all others
-    within a budget of bytes. Words may be lost: some of all is told in turn.
+    Changes are announced at once to routers that wait for the model or used it
+    lately, and to all others within a byte budget. Announcements may be lost,
+    so the periodic beacon repeats the state of a few engines in turn.
 
-    Belongs to the control thread; has to outlive its context's last run.
+    Used on the control thread only. Has to outlive the last run of its
+    io_context.
 */
 class residency_teller
 {
 public:
     struct options
     {
-        /// Between two words to all routers, which show that there is an
-        /// owner and what some of the engines hold, in turn.
+        /// Interval between beacons. A beacon goes to all routers; it shows
+        /// that there is an owner, and which models some engines hold.
         std::chrono::milliseconds beacon{250};
+        /// Maximum number of engines in a beacon.
         std::size_t beacon_engines = 12;
-        /// Changes that come together are told together.
+        /// Changes within this time are announced together.
         std::chrono::milliseconds pause{1};
-        /// For words to those who don't wait for them: of the owner's link, and
-        /// for each router that hears them. What is over it is told to those
-        /// alone who wait for a model, or used it lately: the others ask when
-        /// they need it, and learn of an end from the engine, which costs a
-        /// refused request each (a fifth of all arrivals at 71 routers and 90
-        /// engines with 0.8 KB/s for a router).
+        /// Byte budget for announcements to routers that don't wait for them:
+        /// in total on the owner's link, in bytes per second.
+        ///
+        /// Beyond the budget, a change is announced only to routers that wait
+        /// for the model or used it lately. The others ask when they need the
+        /// model. They learn of an unload from the engine, at the cost of a
+        /// refused request each: a fifth of all arrivals with 71 routers, 90
+        /// engines and 0.8 KB/s per router.
         double spare_bytes_per_second = 1'000'000;
+        /// The same budget per receiving router, in bytes per second.
         double spare_bytes_per_router = 8'500;
-        /// Encoded, with names of usual length.
+        /// Encoded size of one engine's state, with names of usual length.
         std::size_t engine_bytes = 150;
-        /// Told in one word: the ones that come first.
+        /// Maximum number of load forecasts in an announcement; the first ones
+        /// are sent.
         std::size_t most_outlooks = 24;
     };
 
-    /// Tells routers, perhaps this one among them, what engines hold.
+    /// Sends an announcement to routers, which may include this one.
     using sender = std::function<void(
         const owner_announcement&, std::span<const std::string> routers)>;
-    /// @return The names of all routers, this one included.
+    /// @return The names of all routers, including this one.
     using router_lister = std::function<std::vector<std::string>()>;
 
     residency_teller(
@@ -75,31 +83,33 @@
     void start();
     void stop();
 
-    /// This router owns placement under a fencing number, or not any more.
-    /// The others hear of a new owner at once, before they apply themselves.
+    /// Sets the fencing number under which this router owns placement; empty if
+    /// it doesn't. A new owner is announced at once, so that no other router
+    /// applies for ownership.
     void owned_under(std::optional<std::uint64_t> fence);
 
-    /// The term has ended without a renewal. The others hear of it at once, so
-    /// that one of them applies, and go on to hear of what was ordered before.
+    /// The term has expired without a renewal. This is announced at once, so
+    /// that another router applies for ownership. The effects of earlier orders
+    /// are still announced.
     void term_ended();
 
-    /// When models that no engine has can be there. A model that wasn't among
-    /// them before is told at once.
+    /// Sets the forecasts of when models that no engine holds will be ready. A
+    /// new model among them is announced at once.
     void foreseen(std::span<const load_forecast> outlooks);
 
-    /// What an engine holds has changed.
-    /// @param servable Key of the model or adapter that it is about; empty:
-    /// all.
+    /// The models or adapters that an engine holds have changed.
+    /// @param servable Key of the changed model or adapter; empty for all.
     void changed(const std::string& engine, std::string_view servable);
 
-    /// A router needs word of an engine.
+    /// A router needs the state of an engine.
     void needed_by(const std::string& router, const std::string& engine);
 
 private:
     void add(const std::string& engine, std::span<const std::string> audience);
-    /// Takes the bytes of one engine's word to so many routers.
-    /// @return Whether there were as many to spare.
-    bool spare(std::size_t routers);
+    /// Takes the bytes for announcing one engine to the given number of routers
+    /// out of the budget.
+    /// @return Whether the budget was sufficient.
+    bool spare(std::size_t router_count);
     owner_announcement make_word() const;
     void tell_changes();
     void arm_beacon();
@@ -112,16 +122,17 @@
     const demand_tracker& needs;
     router_lister routers;
     sender send;
-    std::optional<std::uint64_t> fence; ///< empty: nothing is told
-    std::map<std::string, std::set<std::string>> to_tell; ///< by router
+    std::optional<std::uint64_t> fence; ///< empty if this isn't the owner
+    /// Engines whose changes are to be announced, by router.
+    std::map<std::string, std::set<std::string>> to_tell;
     double spare_bytes = 0;
     instant spare_counted;
     std::vector<load_forecast> outlooks;
-    std::string last_told; ///< engine that the last beacon ended with
+    std::string last_told; ///< last engine in the latest beacon
     boost::asio::steady_timer pause_timer;
     boost::asio::steady_timer beacon_timer;
-    bool waiting = false; ///< for changes that come together
-    bool lapsed = false;  ///< the term has ended without a renewal
+    bool waiting = false; ///< whether `pause_timer` is running
+    bool lapsed = false;  ///< whether the term has expired without a renewal
     bool stopped = false;
 };
 
--- a/src/app/gateway/serving_desk.cpp
+++ b/src/app/gateway/serving_desk.cpp
@@ -53,7 +53,8 @@
         {{"version", configuration->version},
          {"routes", configuration->routes.size()},
          {"services", configuration->services.size()}});
-    // At once: its bound counts from the store's acknowledgement.
+    // Without the pause: the time limit for applying a configuration starts
+    // when the store acknowledges it.
     this->publish();
     this->tell_organisations(before.get(), *configuration);
     this->tell.on_deployment(std::move(configuration));
@@ -124,9 +125,9 @@
     this->known.registry_back(this->clock.now());
 }
 
-void serving_desk::residency_heard(engine_residency told)
+void serving_desk::residency_heard(engine_residency residency)
 {
-    if (this->known.residency_heard(std::move(told), this->clock.now()))
+    if (this->known.residency_heard(std::move(residency), this->clock.now()))
         this->changed();
 }
 
@@ -146,14 +147,14 @@
 bool serving_desk::unreached(std::string_view server)
 {
     const instant now = this->clock.now();
-    const auto back = this->known.unreached(server, now);
-    if (!back)
+    const auto retry_at = this->known.unreached(server, now);
+    if (!retry_at)
         return false;
     this->events.report(
         event_id::engine_unreached,
         {{"engine", server},
          {"for_ms",
-          std::chrono::duration_cast<std::chrono::milliseconds>(*back - now)
+          std::chrono::duration_cast<std::chrono::milliseconds>(*retry_at - now)
               .count()}});
     this->publish();
     return true;
--- a/src/app/gateway/serving_desk.hpp
+++ b/src/app/gateway/serving_desk.hpp
@@ -18,10 +18,11 @@
 namespace roseworks::app
 {
 
-/** Keeps what this router believes of the deployment, and hands tables of it
-    to the traffic thread.
+/** Maintains this router's view of the deployment, and publishes it as serving
+    tables to the traffic thread.
 
-    Belongs to the control thread; has to outlive its context's last run.
+    Used on the control thread only. Has to outlive the last run of its
+    io_context.
 */
 class serving_desk
 {
@@ -29,10 +30,11 @@
     struct options
     {
         serving_view::options view;
-        /// Changes that come together make one table.
+        /// Delay between a change and the new table; changes within it are
+        /// published together.
         std::chrono::milliseconds publish_pause{2};
-        /// More of it for each known server: a table is made anew for each
-        /// change, and its cost grows with them.
+        /// Additional delay per known server, since the cost of building a
+        /// table grows with the number of servers.
         std::chrono::microseconds publish_pause_per_server{20};
         std::chrono::milliseconds tick{100};
     };
@@ -41,7 +43,7 @@
     {
         /// A newer configuration is in force.
         std::function<void(std::shared_ptr<const deployment>)> on_deployment;
-        /// The servers, or what they hold, may have changed.
+        /// The servers, or the models that they hold, may have changed.
         std::function<void()> on_change;
     };
 
@@ -57,30 +59,32 @@
     void start();
     void stop();
 
-    // What the store says.
+    // Updates from the store.
     void deployment_read(std::shared_ptr<const deployment> configuration);
     void servers_listed(std::vector<server_entry> all);
     void server_read(server_entry entry);
     void server_removed(std::string_view id);
     void store_back();
 
-    /// The placement owner told what an engine holds.
-    void residency_heard(engine_residency told);
+    /// The placement owner announced which models an engine holds.
+    void residency_heard(engine_residency residency);
 
-    /// The placement owner told when a model that no engine has can be there.
+    /// The placement owner announced when a model that no engine holds is
+    /// expected to be ready.
     void outlook_heard(const std::string& model, instant ready);
 
-    /// An engine refused a request for want of its model or adapter.
+    /// An engine refused a request because it doesn't hold the model or
+    /// adapter.
     void contradicted(std::string_view engine, std::string_view servable);
 
     /// No connection to a server could be opened.
-    /// @return Whether it is an engine that was thought to be reachable.
+    /// @return Whether it is an engine that was considered reachable.
     bool unreached(std::string_view server);
 
-    /// Whether cold models can be loaded now.
+    /// Sets whether models that no engine holds can be loaded.
     void orders_possible(bool possible);
 
-    /// Requests that have crashed several servers may not run.
+    /// Sets the requests that are blocked because they crashed several servers.
     void blocked_changed(std::unordered_set<fingerprint> requests);
 
     const serving_view& view() const
@@ -88,7 +92,7 @@
         return this->known;
     }
 
-    /// Whether requests can be routed. Read from any thread.
+    /// @return Whether requests can be routed. Called from any thread.
     bool ready() const
     {
         return this->is_ready;
--- a/src/app/gateway/usage_meter.hpp
+++ b/src/app/gateway/usage_meter.hpp
@@ -12,8 +12,8 @@
 namespace roseworks::app
 {
 
-/// Counts what runs of each servable on each engine. The traffic thread counts,
-/// the control thread reads. Thread-safe.
+/// Counts the running requests of each servable on each engine. The traffic
+/// thread updates the counts, and the control thread reads them. Thread-safe.
 class usage_meter
 {
 public:
@@ -26,7 +26,8 @@
         one.changed = true;
     }
 
-    /// @return Whether nothing runs of the servable there any more.
+    /// @return Whether this was the last running request of the servable on the
+    ///         engine.
     bool ended(const std::string& servable, const std::string& engine)
     {
         const std::lock_guard lock(this->mutex);
@@ -36,7 +37,7 @@
         return one.running == 0;
     }
 
-    /// @return What has stopped since the last call.
+    /// @return The usage that has dropped to zero since it was last taken.
     std::vector<servable_usage> take_ended()
     {
         return this->take(
@@ -46,7 +47,8 @@
             });
     }
 
-    /// @return What runs, and what has stopped since the last call.
+    /// @return The current usage, and usage that has dropped to zero since it
+    ///         was last taken.
     std::vector<servable_usage> take_all()
     {
         return this->take(
--- a/src/ports/directory_copy_port.hpp
+++ b/src/ports/directory_copy_port.hpp
@@ -10,19 +10,21 @@
 namespace roseworks
 {
 
-/// Knows topics of the store, on the thread that runs the port.
+/// Provides copies of the store's topics. Called on the thread that runs the
+/// port.
 class directory_copy_source
 {
 public:
     virtual ~directory_copy_source() = default;
 
-    /// @return What is known here; null when nothing of the topic is. The same
-    ///         object for several asks may be written once for all.
+    /// @return The local copy of the topic, or null if there is none. If
+    ///         several requests get the same object, it may be serialised once
+    ///         for all of them.
     virtual std::shared_ptr<const directory_copy>
     copy_for(const copy_ask& ask) = 0;
 };
 
-/// Port: copies of the store's topics between the gateways.
+/// Port: exchange of copies of the store's topics between gateways.
 class directory_copy_port
 {
 public:
@@ -30,16 +32,16 @@
 
     virtual ~directory_copy_port() = default;
 
-    /// Answers other routers from now on.
+    /// Starts to answer requests of other routers.
     virtual void serve(directory_copy_source& source) = 0;
 
-    /// Asks another router once.
-    /// @param address ip:port, as the router announced itself.
-    /// @param done    Called once; with nothing when it gave none in time.
+    /// Requests a copy from another router, without a retry.
+    /// @param address ip:port that the router announced.
+    /// @param done    Called exactly once; empty if no copy came in time.
     virtual void
     fetch(std::string_view address, const copy_ask& ask, copy_done done) = 0;
 
-    /// Nothing is answered or called any more.
+    /// Stops answering requests. No completion is called after this.
     virtual void stop() = 0;
 };
 
--- a/src/ports/directory_port.hpp
+++ b/src/ports/directory_port.hpp
@@ -17,26 +17,28 @@
 namespace roseworks
 {
 
-/// The right to order the deployment's engines.
+/// Ownership of placement: the right to send orders to the deployment's
+/// engines.
 struct placement_tenure
 {
-    std::uint64_t fence = 0; ///< higher than that of any owner before
-    instant until;           ///< no order is sent later, unless renewed
+    std::uint64_t fence = 0; ///< higher than that of all earlier owners
+    instant until;           ///< no orders are sent later, unless renewed
 };
 
-/// Another router, as it announced itself.
+/// A router, as it announced itself in the store.
 struct router_address
 {
     std::string name;
     std::string address; ///< UDP ip:port
-    /// What its VM can carry, 1 for a quarter of a core with 100 Mbit/s.
+    /// Capacity of its VM; 1 stands for a quarter of a core and 100 Mbit/s.
     double capacity = 1;
-    std::string data_centre; ///< empty: it didn't say
+    std::string data_centre; ///< empty if not announced
 
     bool operator==(const router_address&) const = default;
 };
 
-/// Receives what the platform's store keeps, on the thread that runs the port.
+/// Receives the content of the platform's store, and changes of placement
+/// ownership. Called on the thread that runs the port.
 class directory_listener
 {
 public:
@@ -45,64 +47,73 @@
     virtual void
     deployment_read(std::shared_ptr<const deployment> configuration) = 0;
 
-    /// Whether another router is known to have a newer configuration, which
-    /// this one hasn't got yet.
-    virtual void deployment_behind(bool behind) = 0;
+    /// Called when it changes whether another router is known to have a newer
+    /// configuration than this one.
+    virtual void deployment_behind(bool stale) = 0;
 
-    /// The registry was read whole.
+    /// A full read of the registry has completed.
     virtual void servers_listed(std::vector<server_entry> all) = 0;
     virtual void server_read(server_entry entry) = 0;
     virtual void server_removed(std::string_view id) = 0;
 
-    /// The routers that ever announced themselves, but for those replaced.
+    /// All routers that have ever announced themselves, without those that
+    /// were replaced.
     virtual void routers_listed(std::vector<router_address> all) = 0;
 
-    /// Empty: this router doesn't own placement, or can't renew.
+    /// @param held Empty if this router doesn't own placement or can't renew
+    ///             its ownership.
     virtual void tenure_changed(std::optional<placement_tenure> held) = 0;
 
-    /// Ownership that this router gave up is free for another.
+    /// The store has confirmed that this router resigned: another router can
+    /// acquire ownership.
     virtual void ownership_left() = 0;
 
-    /// The term has ended without a renewal: another router may own placement
-    /// by now. Should none, the next tenure has the same fencing number.
+    /// The term has expired without a renewal, and another router may own
+    /// placement by now. If none does, this router's next tenure has the same
+    /// fencing number.
     virtual void term_ended() = 0;
 
-    /// No call is answered any more, or one is again.
+    /// The store has stopped answering.
     virtual void directory_lost() = 0;
+
+    /// The store answers again.
     virtual void directory_back() = 0;
 
-    /// Another router found the store back after it was away.
+    /// Another router reported that the store answers again.
     virtual void registry_back() = 0;
 
-    /// This router has read the store: the others are to be told, so that they
-    /// needn't.
-    virtual void store_read(const directory_word& word) = 0;
+    /// This router has read an update from the store. It has to be sent to the
+    /// other routers, which then needn't read it themselves.
+    virtual void store_read(const directory_word& update) = 0;
 };
 
-/// Port: the store that the platform offers to all routers. Gives copies of
-/// what it knows to other routers.
+/// Port: the store that the platform offers to all routers. Also the source of
+/// the copies that other routers request.
 class directory_port : public directory_copy_source
 {
 public:
-    /// Starts to read, to announce this router and to apply for ownership.
+    /// Starts to read the store, to announce this router and to apply for
+    /// ownership of placement.
     virtual void start(directory_listener& listener) = 0;
 
-    /// Whether an owner is heard of: routers apply for ownership only while
-    /// there is none.
-    virtual void owner_heard(bool heard) = 0;
+    /// Tells whether an owner is known. Routers apply for ownership only while
+    /// none is.
+    virtual void owner_heard(bool known) = 0;
 
-    /// Another router told what it has read of the store.
-    virtual void word_heard(const directory_word& word) = 0;
+    /// Another router sent an update that it has read from the store.
+    virtual void word_heard(const directory_word& update) = 0;
 
-    /// Another router owns placement under a fencing number. If it is a later
-    /// one than its own, this router doesn't renew: after a cut from the store
-    /// that would move the ownership back.
+    /// Another router owns placement with the given fencing number. If the
+    /// number is higher than that of this router's tenure, this router doesn't
+    /// renew: after a partition from the store, a renewal would take the
+    /// ownership back from the new owner.
     virtual void another_owns(std::uint64_t fence) = 0;
 
-    /// Gives ownership up, so that the next router needn't wait for its term.
+    /// Releases ownership, so that the next owner needn't wait for the term to
+    /// expire.
     virtual void resign() = 0;
 
-    /// Ends all calls; nothing is called any more.
+    /// Cancels all calls. The listener isn't called after this.
     virtual void stop() = 0;
 };
 
--- a/src/ports/engine_port.hpp
+++ b/src/ports/engine_port.hpp
@@ -11,8 +11,8 @@
 namespace roseworks
 {
 
-/// Port: orders to the model engines and reads of their state. Completions
-/// run on the thread that runs the port, exactly once each.
+/// Port: sends orders to the model engines and reads their state. Each
+/// completion runs exactly once, on the thread that runs the port.
 class engine_port
 {
 public:
@@ -24,12 +24,12 @@
 
     virtual ~engine_port() = default;
 
-    /** Send an order once.
+    /** Sends an order once, without retries.
 
-        @param order       What to do.
-        @param engine_name Names the credential, where the engine checks one.
-        @param allowed     Asked immediately before the first byte is written;
-                           `not_sent` when it says no.
+        @param order       The order to send.
+        @param engine_name Selects the credential, if the engine checks one.
+        @param allowed     Called immediately before the first byte is written;
+                           if it returns false, the outcome is `not_sent`.
         @param done        Receives the outcome.
     */
     virtual void send_order(
@@ -38,28 +38,30 @@
         may_send allowed,
         order_done done) = 0;
 
-    /// Read an engine's state; the report is unreachable when it can't be.
-    virtual void read_state(const read_engine& what, read_done done) = 0;
+    /// Reads an engine's state. If the read fails, the report says that the
+    /// engine is unreachable.
+    virtual void read_state(const read_engine& engine, read_done done) = 0;
 
-    /** Read the cache events since the last read of this engine.
+    /** Reads the cache events since the last read of this engine.
 
-        Only hints hang on them, so here alone `done` may stay uncalled: when
-        the engine has none to tell, which is what the default does, can't be
-        read, or is being read already.
+        The events serve as hints only. Unlike other completions, `done` is not
+        called if the engine has no events, can't be read, or is being read
+        already. The default implementation never calls it.
 
-        @param what        The engine.
-        @param incarnation As its state tells; another one reads anew.
+        @param engine      The engine.
+        @param incarnation Incarnation from the engine's state; if it changed,
+                           reading starts over.
         @param done        Receives the events.
     */
     virtual void read_cache_events(
-        const read_engine& what, std::uint64_t incarnation, cache_done done)
+        const read_engine& engine, std::uint64_t incarnation, cache_done done)
     {
-        static_cast<void>(what);
+        static_cast<void>(engine);
         static_cast<void>(incarnation);
         static_cast<void>(done);
     }
 
-    /// Breaks all connections: running calls end as unanswered.
+    /// Closes all connections. Running calls complete as unanswered.
     virtual void cancel_all() = 0;
 };
 
--- a/src/ports/event_sink.hpp
+++ b/src/ports/event_sink.hpp
@@ -13,7 +13,7 @@
 namespace roseworks
 {
 
-/// How much an event matters to an operator, in rising order.
+/// Severity of an event, in ascending order.
 enum class event_level : std::uint8_t
 {
     debug,
@@ -22,11 +22,11 @@
     error
 };
 
-/// The numbered events. The number is the enumerator's value, is printed as
-/// `RW<number>`, and is never given to another event; 1105, 1309, 1402 and
-/// 1603 were given to events that nothing emitted. The catalogue row of
-/// each (level, text, fields, remedy) is in adapters/events/event_catalogue
-/// and in docs/EVENTS.md.
+/// The numbered events. The number is the enumerator's value and is printed as
+/// `RW<number>`. Numbers are never reused; 1105, 1309, 1402 and 1603 belonged
+/// to events that were never emitted. The catalogue entry of each event (level,
+/// text, fields, remedy) is in adapters/events/event_catalogue and in
+/// docs/EVENTS.md.
 enum class event_id : std::uint16_t
 {
     // 10xx: the process.
@@ -44,7 +44,7 @@
     certificate_refused = 1012,
     handshake_failed = 1013,
 
-    // 11xx: the log and the folded state.
+    // 11xx: the log and the state built from it.
     log_unreachable = 1101,
     log_back = 1102,
     log_gap = 1103,
@@ -91,7 +91,7 @@
     vm_list_unreachable = 1406,
     vm_list_back = 1407,
 
-    // 15xx: engines and plain services.
+    // 15xx: engines and services without engines.
     engine_unreachable = 1501,
     engine_back = 1502,
     connection_silent = 1503,
@@ -110,7 +110,7 @@
     caller_left = 1610,
     bad_request = 1611,
 
-    // 17xx: forwarding on the operators' routes.
+    // 17xx: forwarding on the routes that operators configure.
     request_served = 1701,
     request_ended = 1702,
     lines_left_out = 1703,
@@ -132,7 +132,7 @@
     deployment_read = 1725,
     registry_listed = 1726,
 
-    // 18xx: placement by orders of one owner.
+    // 18xx: placement by the orders of a single owner.
     placement_owned = 1801,
     placement_given_up = 1802,
     engine_ordered = 1803,
@@ -141,8 +141,8 @@
     engine_unreached = 1806
 };
 
-/// A named value of an event: text or a signed 64-bit integer. The text is
-/// borrowed and has to live until `event_sink::emit` returns.
+/// A named value of an event: text or a signed 64-bit integer. The text isn't
+/// copied and has to stay valid until `event_sink::emit` returns.
 struct event_field
 {
     std::string_view name;
@@ -154,7 +154,7 @@
     {
     }
 
-    /// Unsigned values beyond the signed range are held at its maximum; send
+    /// Unsigned values above the signed range saturate at its maximum. Pass
     /// hashes as hexadecimal text.
     template <std::integral Integer>
     event_field(std::string_view field_name, Integer number)
@@ -177,22 +177,22 @@
     }
 };
 
-/// One event as it happened. The fields are borrowed.
+/// One occurrence of an event. Doesn't own the fields.
 struct event_record
 {
     event_id id;
     std::span<const event_field> fields;
 };
 
-/// Port: where the router's numbered events go. Implementations may be called
-/// from any thread, don't throw, and keep nothing of the record.
+/// Port: destination of the router's numbered events. Implementations are
+/// thread-safe, don't throw, and keep no reference to the record.
 class event_sink
 {
 public:
     virtual ~event_sink() = default;
 
-    /// Takes one event.
-    /// @param record the event; borrowed for the call only.
+    /// Writes one event.
+    /// @param record the event; valid only during the call.
     virtual void emit(const event_record& record) noexcept = 0;
 
     /// Shorthand: `events.report(event_id::lease_lapsed, {{"engine", name}})`.
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -12,30 +12,30 @@
 namespace roseworks
 {
 
-/// Receives what other routers say, on the thread that runs the port. All of
-/// it is a hint.
+/// Receives messages from other routers, on the thread that runs the port. All
+/// of them are hints.
 class gateway_peer_listener
 {
 public:
     virtual ~gateway_peer_listener() = default;
 
-    virtual void router_word_heard(const router_report& word) = 0;
+    virtual void router_word_heard(const router_report& report) = 0;
 
     /// @param from UDP ip:port of the owner.
-    virtual void
-    owner_word_heard(const owner_announcement& word, std::string_view from) = 0;
+    virtual void owner_word_heard(
+        const owner_announcement& announcement, std::string_view from) = 0;
 
-    virtual void break_word_heard(const connection_loss_report& word) = 0;
-    virtual void directory_word_heard(const directory_word& word) = 0;
+    virtual void break_word_heard(const connection_loss_report& report) = 0;
+    virtual void directory_word_heard(const directory_word& update) = 0;
 
     /// @param from UDP ip:port of the router.
     virtual void
     quota_ask_heard(const quota_ask& ask, std::string_view from) = 0;
     virtual void quota_answer_heard(const quota_answer& answer) = 0;
-    virtual void server_limit_word_heard(const server_limit_word& word) = 0;
+    virtual void server_limit_word_heard(const server_limit_word& limits) = 0;
 };
 
-/// Port: datagrams between the gateways. Each may be lost.
+/// Port: datagrams between gateways. Delivery isn't guaranteed.
 class gateway_peer_port
 {
 public:
@@ -43,24 +43,26 @@
 
     virtual void start(gateway_peer_listener& listener) = 0;
 
-    virtual void
-    send(std::span<const std::string> addresses, const router_report& word) = 0;
     virtual void send(
         std::span<const std::string> addresses,
-        const owner_announcement& word) = 0;
+        const router_report& report) = 0;
     virtual void send(
         std::span<const std::string> addresses,
-        const connection_loss_report& word) = 0;
+        const owner_announcement& announcement) = 0;
     virtual void send(
-        std::span<const std::string> addresses, const directory_word& word) = 0;
+        std::span<const std::string> addresses,
+        const connection_loss_report& report) = 0;
+    virtual void send(
+        std::span<const std::string> addresses,
+        const directory_word& update) = 0;
 
     virtual void send(
         std::span<const std::string> addresses,
-        const server_limit_word& word) = 0;
+        const server_limit_word& limits) = 0;
     virtual void send(std::string_view address, const quota_ask& ask) = 0;
     virtual void send(std::string_view address, const quota_answer& answer) = 0;
 
-    /// Nothing is called any more.
+    /// Stops receiving. The listener isn't called after this.
     virtual void stop() = 0;
 };
 
--- a/src/ports/log_port.hpp
+++ b/src/ports/log_port.hpp
@@ -9,65 +9,67 @@
 namespace roseworks
 {
 
-/// Why a read of the log gave nothing.
+/// Why a read of the log failed.
 enum class log_fault : std::uint8_t
 {
-    unreachable, ///< no answer, or one that says the log is down
-    malformed    ///< an answer that isn't a run of consecutive entries
+    unreachable, ///< no answer, or an answer that says the log is down
+    malformed    ///< the answer isn't a sequence of consecutive entries
 };
 
-/// Receives what a `log_port` reads, on the thread that runs the port.
+/// Receives the results of a `log_port`, on the thread that runs the port.
 class log_listener
 {
 public:
     virtual ~log_listener() = default;
 
-    /// The log answered for the first time, or forgot what was asked for.
-    /// Reading pauses until `log_port::tail_from` is called.
-    /// @param first   Oldest offset kept.
-    /// @param next    The log's end as far as known.
-    /// @param trimmed Whether entries that were asked for are forgotten.
+    /// The log answered for the first time, or has trimmed entries that were
+    /// requested. Reading pauses until `log_port::tail_from` is called.
+    /// @param first   Oldest offset that the log retains.
+    /// @param next    End of the log, as far as known.
+    /// @param trimmed Whether requested entries have been trimmed.
     virtual void
     log_opened(log_offset first, log_offset next, bool trimmed) = 0;
 
-    /// Entries in order, without a gap; none when a poll ran out.
-    /// @param next The log's end as far as known.
+    /// Consecutive entries, in order; empty if a poll timed out.
+    /// @param next End of the log, as far as known.
     virtual void
     entries_read(std::vector<log_entry> entries, log_offset next) = 0;
 
-    /// The log was asked again what it keeps.
-    /// @param first Oldest offset kept.
+    /// The retained range of the log was read again.
+    /// @param first Oldest offset that the log retains.
     virtual void log_kept(log_offset first) = 0;
 
-    /// A read failed; it is repeated with a growing delay.
+    /// A read failed. The port retries with an increasing delay.
     virtual void log_failed(log_fault fault) = 0;
 
-    /// Answer to one `log_port::append`.
+    /// The outcome of one `log_port::append`.
     virtual void
     append_answered(std::uint64_t batch, append_outcome outcome) = 0;
 };
 
-/// Port: the platform's append-only log. Decided state rests on it alone.
+/// Port: the platform's append-only log, the only source of the replicated
+/// state.
 class log_port
 {
 public:
     virtual ~log_port() = default;
 
-    /// Looks for the log and then calls `log_listener::log_opened`.
+    /// Connects to the log and then calls `log_listener::log_opened`.
     virtual void start(log_listener& listener) = 0;
 
-    /// Reads from this offset on, and goes on from the last entry delivered.
+    /// Reads from the given offset, and follows the log from there.
     virtual void tail_from(log_offset from) = 0;
 
-    /// Somebody waits for what is read next: for a while nothing is gathered
-    /// before it is read. A hint.
+    /// A caller is waiting for the next entries: for a while, reads don't wait
+    /// for entries to accumulate. A hint.
     virtual void hurry() = 0;
 
-    /// Appends a batch; batches go out one after another, in order. Answered
-    /// exactly once unless the port is stopped. Never repeated by the port.
+    /// Appends a batch. Batches are sent one at a time, in order. The listener
+    /// gets exactly one answer unless the port is stopped. The port never
+    /// retries.
     virtual void append(append_batch batch) = 0;
 
-    /// Ends all reads and appends; nothing is called any more.
+    /// Cancels all reads and appends. The listener isn't called after this.
     virtual void stop() = 0;
 };
 
--- a/src/ports/peer_port.hpp
+++ b/src/ports/peer_port.hpp
@@ -10,7 +10,7 @@
 namespace roseworks
 {
 
-/// A router's session as the decided state knows it.
+/// A router's session, as recorded in the replicated state.
 struct peer_session
 {
     session_id session;
@@ -19,20 +19,20 @@
     std::string address; ///< UDP ip:port
 };
 
-/// Receives what other routers say, on the thread that runs the port. All of
-/// it is a hint.
+/// Receives messages from other routers, on the thread that runs the port. All
+/// of them are hints.
 class peer_listener
 {
 public:
     virtual ~peer_listener() = default;
 
-    /// Another router wants a servable.
-    virtual void demand_heard(const servable_demand& what) = 0;
+    /// Another router has demand for a servable.
+    virtual void demand_heard(const servable_demand& demand) = 0;
 
     /// A caller used a servable at another router.
-    virtual void visit_heard(const caller_visit& what) = 0;
+    virtual void visit_heard(const caller_visit& visit) = 0;
 
-    /// The sessions thought alive, this router's included.
+    /// The sessions that are considered alive, including this router's.
     virtual void peers_alive(std::span<const session_id> alive) = 0;
 };
 
@@ -42,32 +42,32 @@
 public:
     virtual ~peer_port() = default;
 
-    /// @return The bound UDP ip:port, as other routers reach it.
+    /// @return The UDP ip:port at which other routers reach this one.
     virtual std::string address() const = 0;
 
     virtual void start(peer_listener& listener) = 0;
 
-    /** The decided sessions changed.
+    /** The sessions in the replicated state changed.
 
-        @param self  This router's session; 0 while its join isn't folded.
-        @param peers All sessions that haven't ended, this one included.
+        @param self  This router's session; 0 until its join has been applied.
+        @param peers All sessions that haven't ended, including this one.
     */
     virtual void
     sessions_changed(session_id self, std::span<const peer_session> peers) = 0;
 
-    /// Sends this router's demand; it may be lost.
+    /// Sends this router's demand. Delivery isn't guaranteed.
     virtual void send_demand(
         session_id to,
         std::string_view peer_address,
-        const servable_demand& what) = 0;
+        const servable_demand& demand) = 0;
 
-    /// Tells of a caller's visit here; it may be lost.
+    /// Reports that a caller used a servable here. Delivery isn't guaranteed.
     virtual void send_visit(
         session_id to,
         std::string_view peer_address,
-        const caller_visit& what) = 0;
+        const caller_visit& visit) = 0;
 
-    /// Ends probing; nothing is called any more.
+    /// Stops probing. The listener isn't called after this.
     virtual void stop() = 0;
 };
 
--- a/src/ports/quota_port.hpp
+++ b/src/ports/quota_port.hpp
@@ -10,28 +10,27 @@
 namespace roseworks
 {
 
-/// What one request counts towards its organisation's limit.
+/// The amount that one request counts towards its organisation's limit.
 struct quota_request
 {
     std::string organisation;
-    double amount = 0;       ///< tokens, or requests where these are counted
-    duration longest_wait{}; ///< that it can wait to be within the limit
+    double amount = 0;       ///< tokens, or requests if the limit counts these
+    duration longest_wait{}; ///< maximum wait for the limit to allow it
 };
 
-/// Port: limits of organisations, counted over all routers. May be called from
-/// any thread.
+/// Port: limits of organisations, enforced across all routers. Thread-safe.
 class quota_port
 {
 public:
-    /// Takes the decision; called from any thread, must not block.
+    /// Receives the decision. Called from any thread; must not block.
     using handler = std::function<void(const quota_decision&)>;
 
     virtual ~quota_port() = default;
 
-    /// Sets a request's tokens aside, or says when there will be room.
-    virtual void draw(quota_request request, handler told) = 0;
+    /// Reserves a request's tokens, or tells when they will be available.
+    virtual void draw(quota_request request, handler on_decision) = 0;
 
-    /// A request whose tokens were set aside has not run, and won't.
+    /// Returns the tokens reserved for a request that didn't run and won't.
     virtual void give_back(std::string organisation, double amount) = 0;
 };
 
--- a/src/ports/vm_list_port.hpp
+++ b/src/ports/vm_list_port.hpp
@@ -13,10 +13,10 @@
 public:
     virtual ~vm_list_listener() = default;
 
-    /// The whole list was read. A hint: it lags.
+    /// The whole list was read. A hint: the list lags behind the actual state.
     virtual void vms_listed(std::span<const vm_entry> vms) = 0;
 
-    /// The list couldn't be read, or made no sense.
+    /// The list couldn't be read or parsed.
     virtual void vm_list_failed() = 0;
 };
 
@@ -29,7 +29,7 @@
     /// Starts to poll the list.
     virtual void start(vm_list_listener& listener) = 0;
 
-    /// Ends polling; nothing is called any more.
+    /// Stops polling. The listener isn't called after this.
     virtual void stop() = 0;
 };
 
--- a/tests/unit/gateway/desk_fixture.hpp
+++ b/tests/unit/gateway/desk_fixture.hpp
@@ -20,9 +20,9 @@
 
 using namespace std::chrono_literals;
 
-/// Time that a test moves; timers of the loop go by the machine's clock, and
-/// what they call looks at this one.
-class moved_clock final : public clock_port
+/// Clock that a test advances. The timers of the event loop use the system
+/// clock, but their handlers read this one.
+class manual_clock final : public clock_port
 {
 public:
     instant now() const override
@@ -38,13 +38,13 @@
     instant time{100s};
 };
 
-/// Keeps what was asked for until the test answers it.
-class held_commands final : public engine_command_port
+/// Queues orders and report reads until the test completes them.
+class queued_commands final : public engine_command_port
 {
 public:
     struct command
     {
-        engine_command what;
+        engine_command order;
         std::function<bool()> allowed;
         command_done done;
     };
@@ -56,11 +56,11 @@
     };
 
     void send_command(
-        const engine_command& what,
+        const engine_command& order,
         std::function<bool()> allowed,
         command_done done) override
     {
-        this->commands.push_back({what, std::move(allowed), std::move(done)});
+        this->commands.push_back({order, std::move(allowed), std::move(done)});
     }
 
     void read_report(
@@ -75,8 +75,8 @@
     std::deque<report> reports;
 };
 
-/// The desk over engines `e1`, `e2`, ... of a service `llm` with the models
-/// `m0` to `m3`, each of them on the disk of each engine.
+/// A placement controller with the engines `e1`, `e2`, ... of a service `llm`.
+/// Each engine has the models `m0` to `m3` on its disk.
 class desk_fixture
 {
 public:
@@ -96,9 +96,10 @@
                   return std::vector<std::string>{"r1"};
               },
               [this](
-                  const owner_announcement& word, std::span<const std::string>)
+                  const owner_announcement& announcement,
+                  std::span<const std::string>)
               {
-                  this->told.push_back(word);
+                  this->announcements.push_back(announcement);
               })
     {
         this->view.deployment_read(make_deployment());
@@ -107,7 +108,8 @@
         this->desk.configured(this->view.config());
     }
 
-    /// This router owns placement, and has read what all engines hold.
+    /// Makes this router the owner, and answers the first report read of each
+    /// engine.
     void own(std::uint64_t fence, std::vector<std::string> held = {})
     {
         this->desk.tenure_changed(
@@ -115,7 +117,7 @@
         this->answer_reports(std::move(held));
     }
 
-    /// Answers the first report of each engine.
+    /// Answers one report read per engine.
     void answer_reports(const std::vector<std::string>& held)
     {
         for (std::size_t i = this->view.servers().size(); i > 0; --i)
@@ -133,54 +135,59 @@
         this->next_report().done(report);
     }
 
-    void no_report()
+    /// Fails the next report read.
+    void fail_report()
     {
         this->next_report().done(std::nullopt);
     }
 
-    /// Requests wait here for a model.
-    void need(const std::string& model)
+    /// Reports that requests wait for a model on this router.
+    void report_demand(const std::string& model)
     {
-        router_report word = this->make_word();
-        word.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
-        this->desk.word_heard(word);
+        router_report report = this->make_report();
+        report.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
+        this->desk.word_heard(report);
     }
 
-    void unreached(const std::string& engine)
+    /// Reports that this router couldn't reach an engine.
+    void report_unreachable(const std::string& engine)
     {
-        router_report word = this->make_word();
-        word.unreachable_engines = {engine};
-        this->desk.word_heard(word);
+        router_report report = this->make_report();
+        report.unreachable_engines = {engine};
+        this->desk.word_heard(report);
     }
 
-    /// Runs the loop until an order was sent.
-    held_commands::command next_command()
+    /// Runs the event loop until an order is sent.
+    queued_commands::command next_command()
     {
         this->run_until(
             [this]
             {
                 return !this->commands.commands.empty();
             });
-        held_commands::command next =
+        queued_commands::command next =
             std::move(this->commands.commands.front());
         this->commands.commands.pop_front();
         return next;
     }
 
-    held_commands::report next_report()
+    /// Runs the event loop until a report read is requested.
+    queued_commands::report next_report()
     {
         this->run_until(
             [this]
             {
                 return !this->commands.reports.empty();
             });
-        held_commands::report next = std::move(this->commands.reports.front());
+        queued_commands::report next =
+            std::move(this->commands.reports.front());
         this->commands.reports.pop_front();
         return next;
     }
 
-    /// Handles so many events of the loop, each a timer of the desk.
-    void run_events(int count)
+    /// Runs the given number of handlers of the event loop, each of them a
+    /// timer of the controller.
+    void run_handlers(int count)
     {
         for (; count > 0; --count)
             this->loop.run_one();
@@ -191,12 +198,12 @@
         return this->commands.commands.size();
     }
 
-    moved_clock clock;
+    manual_clock clock;
     events::null_event_sink sink;
-    held_commands commands;
+    queued_commands commands;
     serving_view view{serving_view::options()};
     boost::asio::io_context loop;
-    std::vector<owner_announcement> told;
+    std::vector<owner_announcement> announcements;
     placement_desk desk;
 
 private:
@@ -210,12 +217,12 @@
         }
     }
 
-    router_report make_word()
+    router_report make_report()
     {
-        router_report word;
-        word.router = "r1";
-        word.sequence = ++this->sequence;
-        return word;
+        router_report report;
+        report.router = "r1";
+        report.sequence = ++this->sequence;
+        return report;
     }
 
     static std::shared_ptr<const deployment> make_deployment()
--- a/tests/unit/gateway/test_pace_desk.cpp
+++ b/tests/unit/gateway/test_pace_desk.cpp
@@ -23,7 +23,7 @@
 namespace
 {
 
-/// There is no other router.
+/// Peer port of a router without peers; drops all messages.
 class no_peers final : public gateway_peer_port
 {
 public:
@@ -56,7 +56,7 @@
     return entry;
 }
 
-/// One router that knows one plain server.
+/// A router with one server, which isn't an engine.
 struct one_server
 {
     one_server()
@@ -69,7 +69,7 @@
                [](const crash_seen&) {},
                [this](const permit_wanted& what)
                {
-                   ++this->asked;
+                   ++this->permit_requests;
                    this->desk.permit_needed(what);
                }}))
         , quotas(
@@ -86,9 +86,9 @@
               this->view,
               *this->dispatch,
               this->quotas,
-              {[this](const server_limit_word& word)
+              {[this](const server_limit_word& limits)
                {
-                   this->words.push_back(word);
+                   this->sent_limits.push_back(limits);
                },
                [this](std::map<std::string, double, std::less<>> named)
                {
@@ -123,22 +123,23 @@
     void answer(std::optional<double> named)
     {
         this->desk.answered("i-1", named, this->clock.now());
-        this->turn();
+        this->run_ready_handlers();
     }
 
-    void turn()
+    void run_ready_handlers()
     {
         for (int i = 0; i < 5; ++i)
             this->loop.poll();
     }
 
-    /// @return Whether a request was sent.
-    std::shared_ptr<std::optional<bool>> submit(duration patience)
+    /// Submits a request.
+    /// @return Whether it was granted; empty until there is a reply.
+    std::shared_ptr<std::optional<bool>> submit(duration timeout)
     {
         request_info info;
         info.target = "app";
         info.is_service = true;
-        info.deadline = this->clock.now() + patience;
+        info.deadline = this->clock.now() + timeout;
         const auto sent = std::make_shared<std::optional<bool>>();
         this->dispatch->submit(
             std::move(info),
@@ -163,9 +164,9 @@
     events::null_event_sink events;
     no_peers peers;
     serving_view view;
-    std::vector<server_limit_word> words;
+    std::vector<server_limit_word> sent_limits;
     std::map<std::string, double, std::less<>> rates;
-    int asked = 0;
+    int permit_requests = 0;
     std::shared_ptr<edge::shared_dispatcher> dispatch;
     quota_desk quotas;
     pace_desk desk;
@@ -173,12 +174,12 @@
 
 } // namespace
 
-Test(pace_desk, a_limit_that_an_answer_names_is_told_to_all)
+Test(pace_desk, sends_a_limit_named_by_an_answer_to_all_routers)
 {
     one_server test;
     test.answer(2.0);
-    cr_assert_eq(test.words.size(), 1U);
-    cr_assert_eq(test.words[0].limits.at(0).server, "i-1");
+    cr_assert_eq(test.sent_limits.size(), 1U);
+    cr_assert_eq(test.sent_limits[0].limits.at(0).server, "i-1");
     cr_assert_eq(test.rates.at("i-1"), 2.0);
 }
 
@@ -194,10 +195,10 @@
             return sent->has_value();
         }));
     cr_assert(**sent);
-    cr_assert_geq(test.asked, 1);
+    cr_assert_geq(test.permit_requests, 1);
 }
 
-Test(pace_desk, an_answer_without_a_limit_ends_it)
+Test(pace_desk, an_answer_without_a_limit_ends_the_limit)
 {
     one_server test;
     test.answer(0.01);
@@ -208,7 +209,7 @@
     cr_assert(**sent);
 }
 
-Test(pace_desk, a_server_started_anew_has_named_nothing)
+Test(pace_desk, a_restarted_server_has_no_limit)
 {
     one_server test;
     test.answer(0.01);
@@ -219,8 +220,8 @@
     cr_assert(sent->has_value());
 }
 
-/// Entries are missing for a while when the registry was away.
-Test(pace_desk, a_server_that_is_back_in_the_registry_is_limited_still)
+/// Entries can be missing for a while after an outage of the registry.
+Test(pace_desk, a_limit_survives_the_temporary_loss_of_the_registry_entry)
 {
     one_server test;
     test.answer(0.01);
@@ -232,7 +233,7 @@
     cr_assert_not(sent->has_value() && **sent);
 }
 
-Test(pace_desk, a_word_of_a_server_that_is_read_later_counts_then)
+Test(pace_desk, a_limit_received_before_the_registry_entry_applies_later)
 {
     one_server test;
     test.view.entry_removed("i-1", test.clock.now());
--- a/tests/unit/gateway/test_placement_desk.cpp
+++ b/tests/unit/gateway/test_placement_desk.cpp
@@ -8,27 +8,28 @@
 using namespace roseworks::app;
 using namespace roseworks::app::tests;
 
-Test(placement_desk, an_engine_is_ordered_only_after_its_report_was_read)
+Test(placement_desk, sends_no_order_to_an_engine_before_reading_its_report)
 {
     desk_fixture test(1);
     test.desk.tenure_changed(placement_tenure{7, test.clock.time + 1s});
-    test.need("m1");
+    test.report_demand("m1");
     auto report = test.next_report();
     cr_assert_eq(test.orders_sent(), 0);
     test.commands.reports.push_front(std::move(report));
     test.answer_report({"m0"}, 41);
     const auto sent = test.next_command();
-    cr_assert_eq(sent.what.model, "m1");
-    cr_assert_eq(sent.what.fence, 7);
-    cr_assert_eq(sent.what.orders_taken, 41);
+    cr_assert_eq(sent.order.model, "m1");
+    cr_assert_eq(sent.order.fence, 7);
+    cr_assert_eq(sent.order.orders_taken, 41);
 }
 
-/// Two owners could order in turn where engines don't check the number.
-Test(placement_desk, past_its_term_an_owner_orders_nothing)
+/// If engines don't check fencing numbers, two owners could otherwise order
+/// them alternately.
+Test(placement_desk, sends_no_order_after_its_term)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     const auto sent = test.next_command();
     cr_assert(sent.allowed());
     test.clock.time += 2s;
@@ -36,7 +37,7 @@
     cr_assert_not(test.desk.owns(test.clock.time));
 }
 
-Test(placement_desk, engines_that_check_numbers_let_it_go_on)
+Test(placement_desk, continues_after_its_term_if_engines_check_fencing_numbers)
 {
     placement_desk::options settings;
     settings.fences_checked = true;
@@ -48,50 +49,51 @@
     cr_assert_not(test.desk.owns(test.clock.time));
 }
 
-Test(placement_desk, an_order_that_was_given_up_meanwhile_is_not_sent)
+Test(placement_desk, an_unsent_order_is_not_allowed_after_losing_ownership)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     const auto sent = test.next_command();
     test.desk.tenure_changed(std::nullopt);
     cr_assert_not(sent.allowed());
 }
 
-Test(placement_desk, a_later_owners_order_ends_the_tenure)
+Test(placement_desk, a_fenced_off_order_ends_the_tenure)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     test.next_command().done(command_end::fenced_off);
     cr_assert_not(test.desk.owns(test.clock.time));
-    test.need("m2");
+    test.report_demand("m2");
     cr_assert_eq(test.orders_sent(), 0);
 }
 
-/// The count of orders in both lets the engine take only one of them.
-Test(placement_desk, an_order_without_an_answer_is_sent_again_as_it_was)
+/// Both copies carry the same order count, so the engine takes only one.
+Test(placement_desk, an_order_without_an_answer_is_retried_unchanged)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     const auto first = test.next_command();
     first.done(command_end::unknown);
     const auto second = test.next_command();
-    cr_assert_eq(second.what.model, first.what.model);
-    cr_assert_eq(second.what.orders_taken, first.what.orders_taken);
-    cr_assert_eq(second.what.fence, first.what.fence);
+    cr_assert_eq(second.order.model, first.order.model);
+    cr_assert_eq(second.order.orders_taken, first.order.orders_taken);
+    cr_assert_eq(second.order.fence, first.order.fence);
     second.done(command_end::accepted);
     cr_assert_eq(test.desk.engines().find("e1")->orders_taken, 1);
     cr_assert(test.desk.engines().find("e1")->state_confirmed);
 }
 
-/// The first was taken and its answer lost: what the engine does is read.
-Test(placement_desk, a_repeat_that_is_out_of_step_has_the_engine_examined)
+/// The engine took the first copy and its answer was lost, so the state of the
+/// engine has to be read.
+Test(placement_desk, an_out_of_step_retry_makes_the_report_be_read)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     test.next_command().done(command_end::unknown);
     test.next_command().done(command_end::out_of_step);
     cr_assert_not(test.desk.engines().find("e1")->state_confirmed);
@@ -100,34 +102,33 @@
     cr_assert_eq(test.desk.engines().find("e1")->orders_taken, 1);
 }
 
-/// An answer is lost, and ownership lost and regained meanwhile: the repeat
-/// would bear a lower number than the order that was sent since.
-Test(
-    placement_desk, an_order_of_an_earlier_tenure_is_not_repeated_into_this_one)
+/// An answer is lost, and ownership is lost and regained meanwhile: a retry
+/// would carry a lower fencing number than the order sent since.
+Test(placement_desk, an_order_of_an_earlier_tenure_is_not_retried)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     const auto first = test.next_command();
     test.desk.tenure_changed(std::nullopt);
     test.own(9);
-    test.need("m1");
+    test.report_demand("m1");
     const auto second = test.next_command();
-    cr_assert_eq(second.what.fence, 9);
+    cr_assert_eq(second.order.fence, 9);
     first.done(command_end::unknown);
     cr_assert_eq(test.orders_sent(), 0);
 }
 
-/// Its outcome says nothing of the order that is on its way now.
-Test(placement_desk, an_answer_counts_for_its_own_order_only)
+/// A late answer to an earlier order says nothing about the pending order.
+Test(placement_desk, an_answer_affects_only_its_own_order)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     const auto first = test.next_command();
     test.desk.tenure_changed(std::nullopt);
     test.own(9);
-    test.need("m1");
+    test.report_demand("m1");
     const auto second = test.next_command();
     for (const command_end late :
          {command_end::accepted,
@@ -143,8 +144,8 @@
     cr_assert_eq(engine->orders_taken, 1);
 }
 
-/// Another owner may have ordered the engine since it was read.
-Test(placement_desk, a_report_read_in_an_earlier_tenure_is_read_again)
+/// Another owner may have sent orders to the engine since the read began.
+Test(placement_desk, a_report_requested_in_an_earlier_tenure_is_read_again)
 {
     desk_fixture test(1);
     test.desk.tenure_changed(placement_tenure{7, test.clock.time + 1s});
@@ -158,99 +159,101 @@
     cr_assert_eq(test.desk.engines().find("e1")->orders_taken, 3);
 }
 
-Test(placement_desk, an_order_is_repeated_so_often_only)
+Test(placement_desk, the_number_of_retries_of_an_order_is_limited)
 {
     placement_desk::options settings;
     settings.most_repeats = 2;
     desk_fixture test(1, settings);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     for (int sent = 0; sent < 3; ++sent)
         test.next_command().done(command_end::unknown);
     cr_assert_eq(test.orders_sent(), 0);
     cr_assert_not(test.desk.engines().find("e1")->state_confirmed);
 }
 
-/// It stays in the registry for seconds, and its models would serve nobody.
-Test(placement_desk, what_a_silent_engine_holds_is_loaded_elsewhere)
+/// A dead engine stays in the registry for seconds. Until it is marked as
+/// unreachable, requests for its models have no engine.
+Test(placement_desk, an_engine_without_a_report_gets_no_orders)
 {
     desk_fixture test(2);
     test.own(7, {"m0"});
-    test.unreached("e1");
-    test.unreached("e1"); // looked at once
+    test.report_unreachable("e1");
+    test.report_unreachable("e1"); // doesn't start a second read
     auto report = test.next_report();
     cr_assert_eq(report.engine, "e1");
     cr_assert(test.commands.reports.empty());
     report.done(std::nullopt);
     cr_assert_not(test.desk.engines().find("e1")->reachable);
-    test.need("m1");
-    cr_assert_eq(test.next_command().what.engine, "e2");
+    test.report_demand("m1");
+    cr_assert_eq(test.next_command().order.engine, "e2");
 }
 
-Test(placement_desk, an_engine_that_one_router_can_not_reach_stays_in_use)
+Test(placement_desk, an_engine_that_the_owner_can_reach_stays_in_use)
 {
     desk_fixture test(1);
     test.own(7, {"m0"});
-    test.unreached("e1");
+    test.report_unreachable("e1");
     test.answer_report({"m0"});
     cr_assert(test.desk.engines().find("e1")->reachable);
     cr_assert(test.desk.engines().find("e1")->state_confirmed);
 }
 
-/// The run after it at its address answers its report, and holds nothing: the
-/// emptiest engine of all, to which each load was sent in vain.
-Test(placement_desk, an_engine_whose_run_is_over_is_not_ordered_on)
+/// After a restart, another run answers the report read at the same address and
+/// holds no models. It used to look like the emptiest engine, so each load was
+/// sent to it in vain.
+Test(placement_desk, a_replaced_engine_gets_no_more_orders)
 {
     desk_fixture test(2);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     const auto first = test.next_command();
     first.done(command_end::wrong_server);
     const auto second = test.next_command();
-    cr_assert_neq(second.what.engine, first.what.engine);
-    cr_assert_not(test.desk.engines().find(first.what.engine)->reachable);
+    cr_assert_neq(second.order.engine, first.order.engine);
+    cr_assert_not(test.desk.engines().find(first.order.engine)->reachable);
     cr_assert(test.commands.reports.empty());
 }
 
-/// Nothing in a report names the run, but a start clears the count of orders.
-Test(placement_desk, a_report_of_the_run_after_it_brings_no_engine_back)
+/// A report doesn't identify the run, but a restart resets the order count.
+Test(placement_desk, a_report_of_a_later_run_does_not_restore_the_engine)
 {
     desk_fixture test(1);
     test.desk.tenure_changed(placement_tenure{7, test.clock.time + 1s});
     test.answer_report({"m0"}, 12);
-    test.unreached("e1");
-    test.no_report();
+    test.report_unreachable("e1");
+    test.fail_report();
     test.answer_report({}, 0);
     cr_assert_not(test.desk.engines().find("e1")->reachable);
-    test.need("m1");
+    test.report_demand("m1");
     cr_assert_eq(test.orders_sent(), 0);
 }
 
-Test(placement_desk, a_report_that_lags_by_an_order_is_the_engines_own)
+Test(placement_desk, a_report_that_lags_by_one_order_is_accepted)
 {
     desk_fixture test(1);
     test.desk.tenure_changed(placement_tenure{7, test.clock.time + 1s});
     test.answer_report({"m0"}, 12);
-    test.unreached("e1");
-    test.no_report();
+    test.report_unreachable("e1");
+    test.fail_report();
     test.answer_report({"m0"}, 11);
     cr_assert(test.desk.engines().find("e1")->reachable);
 }
 
-Test(placement_desk, an_engine_that_is_back_is_used_again)
+Test(placement_desk, an_engine_that_is_reachable_again_is_used)
 {
     desk_fixture test(1);
     test.own(7);
-    test.unreached("e1");
-    test.no_report();
+    test.report_unreachable("e1");
+    test.fail_report();
     test.answer_report({"m0"});
     cr_assert(test.desk.engines().find("e1")->reachable);
-    test.need("m1");
-    cr_assert_eq(test.next_command().what.engine, "e1");
+    test.report_demand("m1");
+    cr_assert_eq(test.next_command().order.engine, "e1");
 }
 
-/// All that an owner before knew may have changed since.
-Test(placement_desk, an_owner_anew_reads_all_reports_again)
+/// The state known from an earlier tenure may have changed since.
+Test(placement_desk, a_new_tenure_reads_all_reports_again)
 {
     desk_fixture test(2);
     test.own(7, {"m0"});
@@ -262,57 +265,59 @@
     cr_assert(test.desk.engines().find("e2")->state_confirmed);
 }
 
-Test(placement_desk, a_renewed_term_goes_on_with_what_is_known)
+Test(placement_desk, a_renewal_with_a_new_number_keeps_the_known_state)
 {
     desk_fixture test(1);
     test.own(7, {"m0"});
     test.desk.tenure_changed(placement_tenure{8, test.clock.time + 1s});
     cr_assert(test.desk.engines().find("e1")->state_confirmed);
-    test.need("m1");
-    cr_assert_eq(test.next_command().what.fence, 8);
+    test.report_demand("m1");
+    cr_assert_eq(test.next_command().order.fence, 8);
 }
 
-/// Cut off from the store, it went on as the owner to all who heard it, and
-/// nobody ordered engines for as long as the cut lasted.
-Test(placement_desk, past_its_term_it_says_so_and_tells_what_it_had_ordered)
+/// An owner that was partitioned from the store kept announcing itself without
+/// sending orders. No other router applied, so no engine got orders until the
+/// partition ended.
+Test(placement_desk, announces_the_end_of_its_term_and_its_earlier_orders)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     test.next_command().done(command_end::accepted);
     test.clock.time += 1s;
     test.desk.term_ended();
-    cr_assert(test.told.back().term_expired);
-    const auto tells_of_load = [](const owner_announcement& word)
+    cr_assert(test.announcements.back().term_expired);
+    const auto shows_load = [](const owner_announcement& announcement)
     {
-        return word.term_expired && !word.engines.empty() &&
-               !word.engines.front().resident.empty();
+        return announcement.term_expired && !announcement.engines.empty() &&
+               !announcement.engines.front().resident.empty();
     };
     test.clock.time += 10s;
-    while (std::ranges::none_of(test.told, tells_of_load))
-        test.run_events(1);
+    while (std::ranges::none_of(test.announcements, shows_load))
+        test.run_handlers(1);
     test.desk.tenure_changed(placement_tenure{7, test.clock.time + 1s});
-    cr_assert_not(test.told.back().term_expired);
+    cr_assert_not(test.announcements.back().term_expired);
 }
 
-/// A later owner's order that was the very one under way isn't counted by the
-/// engine: the owner before, back after 0.7 s, ordered it in turn.
-Test(placement_desk, after_another_owner_was_heard_the_lease_is_waited_for)
+/// An engine doesn't count a later owner's order if it is already carrying out
+/// the same one, so the order count doesn't show it. The earlier owner, which
+/// regained ownership after 0.7 s, sent its own order in between.
+Test(placement_desk, waits_for_the_lease_after_another_owner_was_announced)
 {
     desk_fixture test(1);
     test.own(7);
-    test.need("m1");
+    test.report_demand("m1");
     test.next_command().done(command_end::accepted);
     test.desk.tenure_changed(std::nullopt);
     test.desk.other_owner_heard(8);
     const instant regained = test.clock.time;
     test.desk.tenure_changed(placement_tenure{9, regained + 1h});
-    test.answer_report({"m1"}, 1); // as many orders as it had sent
+    test.answer_report({"m1"}, 1); // the count of this owner's own orders
     while (test.orders_sent() == 0)
     {
-        test.need("m2");
+        test.report_demand("m2");
         test.clock.time += 20ms;
-        test.run_events(1);
+        test.run_handlers(1);
     }
     cr_assert_geq(test.clock.time - regained, duration(2s));
 }
--- a/tests/unit/gateway/test_quota_desk.cpp
+++ b/tests/unit/gateway/test_quota_desk.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-/// Hands words on to the desk at their address, at once.
-class joined_peers final : public gateway_peer_port
+/// Delivers quota messages to the router at their address, synchronously.
+class direct_peers final : public gateway_peer_port
 {
 public:
     void start(gateway_peer_listener&) override {}
@@ -67,10 +67,10 @@
     return made;
 }
 
-/// A strong and a weak router on one event loop.
-struct two_desks
+/// Two routers, one on a VM of high and one of low capacity, on one event loop.
+struct two_routers
 {
-    two_desks()
+    two_routers()
         : strong(
               this->loop,
               {.router = "strong"},
@@ -101,22 +101,23 @@
         this->weak.configured(make_deployment(per_second));
     }
 
-    /// Draws until one is decided as wished.
+    /// Draws quota until a draw is allowed or refused, as given.
+    /// @return Whether that happened before the time limit.
     bool draws_until(bool allowed)
     {
         const auto limit = std::chrono::steady_clock::now() + 20s;
         while (std::chrono::steady_clock::now() < limit)
         {
-            std::optional<quota_decision> made;
+            std::optional<quota_decision> decision;
             this->weak.draw(
                 {"o1", 100, 0ms},
-                [&made](const quota_decision& decided)
+                [&decision](const quota_decision& received)
                 {
-                    made = decided;
+                    decision = received;
                 });
-            while (!made && std::chrono::steady_clock::now() < limit)
+            while (!decision && std::chrono::steady_clock::now() < limit)
                 this->loop.run_one_for(10ms);
-            if (made && made->is_allowed == allowed)
+            if (decision && decision->is_allowed == allowed)
                 return true;
         }
         return false;
@@ -125,58 +126,59 @@
     boost::asio::io_context loop;
     platform::system_clock clock;
     events::null_event_sink events;
-    joined_peers peers;
+    direct_peers peers;
     quota_desk strong;
     quota_desk weak;
 };
 
 } // namespace
 
-Test(quota_desk, a_weak_router_draws_from_the_strong_one)
+Test(quota_desk, the_router_of_low_capacity_asks_the_other_one)
 {
-    two_desks test;
+    two_routers test;
     test.configure(1e6);
     cr_assert(test.draws_until(true));
     cr_assert_gt(test.peers.asks, 0);
 }
 
-Test(quota_desk, what_is_over_the_limit_is_refused)
+Test(quota_desk, refuses_draws_over_the_limit)
 {
-    two_desks test;
+    two_routers test;
     test.configure(1e3);
     cr_assert(test.draws_until(true));
     cr_assert(test.draws_until(false));
 }
 
-Test(quota_desk, says_nothing_while_nobody_has_a_limit)
+Test(quota_desk, sends_nothing_while_there_is_no_limit)
 {
-    two_desks test;
+    two_routers test;
     test.configure(0);
     for (int i = 0; i < 20; ++i)
         test.loop.run_one_for(5ms);
     cr_assert_eq(test.peers.asks, 0);
 }
 
-Test(quota_desk, a_request_that_waits_is_told_though_its_limit_goes)
+Test(quota_desk, a_waiting_request_is_allowed_when_its_limit_is_removed)
 {
-    two_desks test;
+    two_routers test;
     test.configure(1e6);
     cr_assert(test.draws_until(true));
-    // Nobody answers any more, and the limit goes while a draw is open.
+    // The accountant stops answering, and the limit is removed while a draw is
+    // pending.
     test.peers.strong = nullptr;
-    std::optional<quota_decision> made;
+    std::optional<quota_decision> decision;
     test.weak.draw(
         {"o1", 100, 0ms},
-        [&made](const quota_decision& decided)
+        [&decision](const quota_decision& received)
         {
-            made = decided;
+            decision = received;
         });
     test.loop.run_one_for(10ms);
     test.configure(0);
     const auto limit = std::chrono::steady_clock::now() + 20s;
-    while (!made && std::chrono::steady_clock::now() < limit)
+    while (!decision && std::chrono::steady_clock::now() < limit)
         test.loop.run_one_for(10ms);
-    cr_assert(made.has_value());
-    cr_assert(made->is_allowed);
+    cr_assert(decision.has_value());
+    cr_assert(decision->is_allowed);
     cr_assert(test.draws_until(true));
 }
