--- a/src/app/gateway/need_teller.hpp
+++ b/src/app/gateway/demand_reporter.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "app/gateway/usage_meter.hpp"
+#include "app/gateway/usage_counter.hpp"
 #include "core/swapping/peer_messages.hpp"
 #include "ports/clock.hpp"
 
@@ -25,61 +25,61 @@
     Used on the control thread only. Has to outlive the last run of its
     io_context.
 */
-class need_teller
+class demand_reporter
 {
 public:
     /// Sends a report to the owner, if one is known.
     using sender = std::function<void(router_report)>;
 
-    need_teller(
+    demand_reporter(
         boost::asio::io_context& loop,
         std::string own_name,
         const clock_port& clock,
-        usage_meter& usage,
+        usage_counter& usage,
         sender send);
 
     void stop();
 
     /// Requests are waiting for a servable. The dispatcher repeats the call
     /// while they wait.
-    void arose(const demand& waiting_demand);
+    void update_demand(const demand& waiting_demand);
 
     /// The last running request for a servable on some engine has ended.
-    void use_ended();
+    void usage_ended();
 
     /// Reports demand that is due, and all usage.
     void tick();
 
     /// Reports all demand, because the owner has changed.
-    void tell_all();
+    void report_all();
 
     /// @return An empty report with a higher sequence number than all before.
-    router_report make_word();
+    router_report make_report();
 
 private:
     /// Demand of this router for one servable.
-    struct waiting_need
+    struct demand_state
     {
         demand last;
-        instant heard;    ///< when the dispatcher last repeated it
-        bool news = true; ///< not reported to the owner yet
+        instant last_seen;      ///< when the dispatcher last repeated it
+        bool unreported = true; ///< not reported to the owner yet
     };
 
-    servable_need need_of(const demand& waiting_demand, instant now) const;
-    void tell_needs(bool all);
+    servable_need make_need(const demand& waiting_demand, instant now) const;
+    void report_demand(bool all);
 
     std::string name;
     const clock_port& clock;
-    usage_meter& usage;
+    usage_counter& usage;
     sender send;
     const std::uint64_t run_number;
     std::uint64_t last_sequence = 0;
-    std::map<std::string, waiting_need> waiting; ///< by servable
-    instant repeated;
-    boost::asio::steady_timer needs_timer;
-    boost::asio::steady_timer ended_timer;
-    bool needs_armed = false;
-    bool ended_armed = false;
+    std::map<std::string, demand_state> waiting; ///< by servable
+    instant last_full_report;
+    boost::asio::steady_timer demand_timer;
+    boost::asio::steady_timer usage_timer;
+    bool demand_timer_armed = false;
+    bool usage_timer_armed = false;
 };
 
 } // namespace roseworks::app
--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -26,26 +26,26 @@
 
 /// Time until the load balancer stops sending new connections: it probes every
 /// second and needs two failures.
-constexpr milliseconds balancer_notices{2600};
+constexpr milliseconds balancer_reaction_time{2600};
 
 /// Requests still running this long before the end of the grace period are
 /// aborted, to leave time for the last responses and the process exit.
-constexpr milliseconds end_margin{800};
+constexpr milliseconds shutdown_margin{800};
 
-constexpr milliseconds drain_look{100};
+constexpr milliseconds drain_check_interval{100};
 
 /// Maximum idle time of a pooled connection to a server that doesn't announce
 /// its keep-alive time-out.
-constexpr milliseconds backend_idle{2500};
+constexpr milliseconds backend_max_idle{2500};
 
 /// Maximum idle time of a pooled connection for a request that can't be sent
 /// twice: if the server closed the connection at that moment, it would be
 /// unknown whether the request ran.
-constexpr milliseconds fresh_enough{400};
+constexpr milliseconds single_send_max_idle{400};
 
 /// Connections open within some milliseconds, unless a packet is lost, which is
 /// retransmitted only after a second.
-constexpr milliseconds connect_limit{300};
+constexpr milliseconds backend_connect_timeout{300};
 
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_not_found = 404;
@@ -53,9 +53,9 @@
 
 std::uint64_t random_seed()
 {
-    constexpr int half = 32;
+    constexpr int half_bits = 32;
     std::random_device device;
-    return std::uint64_t(device()) << half | device();
+    return std::uint64_t(device()) << half_bits | device();
 }
 
 asio::ip::tcp::endpoint tcp_endpoint(const settings::socket_address& address)
@@ -66,9 +66,9 @@
 edge::edge_options make_edge_options()
 {
     edge::edge_options made;
-    made.connect_timeout = connect_limit;
-    made.connection_max_idle = backend_idle;
-    made.proof_of_life = fresh_enough;
+    made.connect_timeout = backend_connect_timeout;
+    made.connection_max_idle = backend_max_idle;
+    made.proof_of_life = single_send_max_idle;
     made.max_idle_connections = 8;
     made.connection_max_age = milliseconds(300'000);
     return made;
@@ -107,41 +107,42 @@
 
 } // namespace
 
-leaf::result<std::unique_ptr<gateway_app>>
-gateway_app::make(const settings::gateway_settings& wanted, std::string path)
+leaf::result<std::unique_ptr<gateway_app>> gateway_app::make(
+    const settings::gateway_settings& initial_settings, std::string path)
 {
-    std::unique_ptr<gateway_app> app(new gateway_app(wanted, std::move(path)));
+    std::unique_ptr<gateway_app> app(
+        new gateway_app(initial_settings, std::move(path)));
     BOOST_LEAF_CHECK(app->listen());
     return app;
 }
 
 gateway_app::gateway_app(
-    const settings::gateway_settings& wanted, std::string path)
-    : settings(wanted)
+    const settings::gateway_settings& initial_settings, std::string path)
+    : settings(initial_settings)
     , config_path(std::move(path))
-    , events(make_event_options(wanted), this->clock)
+    , events(make_event_options(initial_settings), this->clock)
     , counts(this->registry)
     , traffic(1)
     , dispatch(edge::shared_dispatcher::make(
-          dispatcher(make_dispatcher_options(wanted)),
+          dispatcher(make_dispatcher_options(initial_settings)),
           this->traffic.get_executor(),
           this->clock,
-          {[this](const demand& what)
+          {[this](const demand& waiting)
            {
-               this->control->demand_arose(what);
+               this->control->demand_waiting(waiting);
            },
            [](const crash_seen&) {},
-           [this](const permit_wanted& what)
+           [this](const permit_wanted& wanted)
            {
-               this->control->permit_needed(what);
+               this->control->permit_needed(wanted);
            }}))
     , control(std::make_unique<gateway_control>(
-          wanted,
+          initial_settings,
           this->clock,
           this->events,
           this->tables,
           this->dispatch,
-          this->make_notices()))
+          this->make_callbacks()))
     , context(this->make_context())
     , server(this->traffic.get_executor(), this->context, make_edge_options())
     , readiness_probe(
@@ -152,13 +153,13 @@
           })
     , metrics_probe(
           this->traffic.get_executor(),
-          [this](std::string_view path_asked)
+          [this](std::string_view requested_path)
           {
-              return this->metrics_page(path_asked);
+              return this->metrics_page(requested_path);
           })
     , signals(this->traffic, SIGINT, SIGTERM, SIGHUP)
     , drain_timer(this->traffic)
-    , lines_timer(this->traffic)
+    , dropped_lines_timer(this->traffic)
 {
 }
 
@@ -168,7 +169,7 @@
     this->dispatch->stop();
 }
 
-gateway_control::notices gateway_app::make_notices()
+gateway_control::callbacks gateway_app::make_callbacks()
 {
     return {
         [this](std::shared_ptr<const deployment> configuration)
@@ -191,18 +192,18 @@
 
 forward::forward_context gateway_app::make_context()
 {
-    const edge::backend_context surroundings(
+    const edge::backend_context backend(
         make_edge_options(), this->clock, this->events, this->counts, nullptr);
     forward::forward_dependencies ports{
         *this->dispatch,
-        this->control->limits(),
+        this->control->organisation_limits(),
         [this]
         {
             return this->tables.get();
         },
         [this]
         {
-            return this->control->routers();
+            return this->control->live_router_count();
         },
         [this](const load_report& report)
         {
@@ -210,11 +211,11 @@
         },
         [this](const std::string& servable, const std::string& engine)
         {
-            this->control->run_started(servable, engine);
+            this->control->request_started(servable, engine);
         },
         [this](const std::string& servable, const std::string& engine)
         {
-            this->control->run_ended(servable, engine);
+            this->control->request_ended(servable, engine);
         },
         [this](const std::string& servable, const std::string& engine)
         {
@@ -222,25 +223,25 @@
         },
         [this](const std::string& server)
         {
-            this->control->server_unreached(server);
+            this->control->server_unreachable(server);
         },
         [this](const std::string& server, fingerprint request)
         {
-            this->control->connection_broke(server, request);
+            this->control->connection_lost(server, request);
         },
         [this](
             const std::string& server,
-            std::optional<double> named,
+            std::optional<double> named_limit,
             instant sent)
         {
-            this->control->server_answered(server, named, sent);
+            this->control->server_answered(server, named_limit, sent);
         },
         [this]
         {
-            return this->control->is_behind();
+            return this->control->is_deployment_stale();
         }};
     return {
-        surroundings,
+        backend,
         make_forward_options(this->settings),
         users_platform::make_dialect(),
         std::move(ports),
@@ -279,7 +280,7 @@
          {"version", ROSEWORKS_VERSION},
          {"incarnation", this->clock.wall()}});
     this->wait_for_signals();
-    this->count_lines();
+    this->report_dropped_lines();
     this->control->start();
     this->traffic.run();
     this->control->stop();
@@ -302,21 +303,21 @@
         });
 }
 
-void gateway_app::count_lines()
+void gateway_app::report_dropped_lines()
 {
     constexpr std::chrono::seconds interval{1};
-    const auto missing = this->events.take_left_out();
-    if (missing.over_limit + missing.not_taken != 0)
+    const auto dropped = this->events.take_left_out();
+    if (dropped.over_limit + dropped.not_taken != 0)
         this->events.report(
             event_id::lines_left_out,
-            {{"over_limit", missing.over_limit},
-             {"not_taken", missing.not_taken}});
-    this->lines_timer.expires_after(interval);
-    this->lines_timer.async_wait(
+            {{"over_limit", dropped.over_limit},
+             {"not_taken", dropped.not_taken}});
+    this->dropped_lines_timer.expires_after(interval);
+    this->dropped_lines_timer.async_wait(
         [this](const boost::system::error_code& error)
         {
             if (!error)
-                this->count_lines();
+                this->report_dropped_lines();
         });
 }
 
@@ -325,7 +326,7 @@
     // No setting can change in the running process, since all of them are bound
     // to its sockets and terms. The file is only checked, so that errors in it
     // are found before the next restart.
-    const bool right = leaf::try_handle_all(
+    const bool is_valid = leaf::try_handle_all(
         [&]() -> leaf::result<bool>
         {
             BOOST_LEAF_CHECK(
@@ -344,7 +345,7 @@
         {
             return false;
         });
-    if (right)
+    if (is_valid)
         this->events.report(event_id::settings_reloaded, {{"changed", "none"}});
 }
 
@@ -352,51 +353,52 @@
 {
     if (std::exchange(this->draining, true))
         return;
-    this->drain_began = this->clock.now();
+    this->drain_start = this->clock.now();
     this->events.report(
         event_id::drain_started,
         {{"in_flight", this->dispatch->in_flight()},
          {"queued", this->dispatch->queued()}});
     this->server.start_drain();
     this->control->resign();
-    this->look_whether_drained();
+    this->check_drained();
 }
 
-void gateway_app::look_whether_drained()
+void gateway_app::check_drained()
 {
-    const duration passed = this->clock.now() - this->drain_began;
-    if (passed >= balancer_notices && !std::exchange(this->idle_closed, true))
+    const duration elapsed = this->clock.now() - this->drain_start;
+    if (elapsed >= balancer_reaction_time &&
+        !std::exchange(this->idle_closed, true))
         this->server.close_idle();
     const bool done = this->idle_closed && this->server.connections() == 0;
-    if (done || passed >= this->settings.bounds.grace - end_margin)
+    if (done || elapsed >= this->settings.bounds.grace - shutdown_margin)
     {
         this->finish();
         return;
     }
-    this->drain_timer.expires_after(drain_look);
+    this->drain_timer.expires_after(drain_check_interval);
     this->drain_timer.async_wait(
         [this](const boost::system::error_code& error)
         {
             if (!error)
-                this->look_whether_drained();
+                this->check_drained();
         });
 }
 
 void gateway_app::finish()
 {
     // Time to send the last responses.
-    constexpr milliseconds last_words{200};
+    constexpr milliseconds final_response_time{200};
     const std::size_t unfinished = this->server.connections();
     this->server.force_end();
     this->events.report(
         event_id::drain_finished,
         {{"elapsed_ms",
           std::chrono::duration_cast<milliseconds>(
-              this->clock.now() - this->drain_began)
+              this->clock.now() - this->drain_start)
               .count()},
          {"unfinished", unfinished}});
     this->drain_timer.expires_after(
-        unfinished == 0 ? milliseconds(0) : last_words);
+        unfinished == 0 ? milliseconds(0) : final_response_time);
     this->drain_timer.async_wait(
         [this](const boost::system::error_code&)
         {
--- a/src/app/gateway/gateway_app.hpp
+++ b/src/app/gateway/gateway_app.hpp
@@ -58,12 +58,12 @@
 
     boost::leaf::result<void> listen();
     forward::forward_context make_context();
-    gateway_control::notices make_notices();
+    gateway_control::callbacks make_callbacks();
     void wait_for_signals();
     void reload();
     void start_drain();
-    void look_whether_drained();
-    void count_lines();
+    void check_drained();
+    void report_dropped_lines();
     void finish();
     forward::probe_answer readiness() const;
     forward::probe_answer metrics_page(std::string_view path) const;
@@ -84,8 +84,8 @@
     forward::probe_server metrics_probe;
     boost::asio::signal_set signals;
     boost::asio::steady_timer drain_timer;
-    boost::asio::steady_timer lines_timer;
-    instant drain_began;
+    boost::asio::steady_timer dropped_lines_timer;
+    instant drain_start;
     bool draining = false;
     bool idle_closed = false;
 };
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -17,15 +17,15 @@
 {
 
 /// An owner that hasn't announced itself for this time is considered gone.
-constexpr duration owner_lifetime = std::chrono::milliseconds(1200);
+constexpr duration owner_timeout = std::chrono::milliseconds(1200);
 
 /// How long a router listens for an owner after its start before it concludes
 /// that there is none. An owner sends a beacon every 250 ms.
-constexpr duration first_listening = std::chrono::milliseconds(350);
+constexpr duration initial_listen_period = std::chrono::milliseconds(350);
 
 /// After this time without an owner, requests don't wait for models to be
 /// loaded. A new owner takes over within its predecessor's term plus a second.
-constexpr duration longest_vacancy = std::chrono::milliseconds(4000);
+constexpr duration max_ownerless_period = std::chrono::milliseconds(4000);
 
 asio::ip::udp::endpoint udp_endpoint(const settings::socket_address& address)
 {
@@ -35,97 +35,104 @@
 } // namespace
 
 gateway_control::gateway_control(
-    const settings::gateway_settings& wanted,
+    const settings::gateway_settings& initial_settings,
     const clock_port& time,
     event_sink& sink,
     newest_table<serving_table_ptr>& tables,
     std::shared_ptr<edge::shared_dispatcher> dispatch,
-    notices told)
-    : settings(wanted)
+    callbacks handlers)
+    : settings(initial_settings)
     , clock(time)
     , events(sink)
-    , tell(std::move(told))
+    , notify(std::move(handlers))
     , loop(1)
-    , work(this->loop.get_executor())
-    , desk(std::make_unique<serving_desk>(
+    , work_guard(this->loop.get_executor())
+    , serving(std::make_unique<serving_table_publisher>(
           this->loop,
-          serving_desk::options(),
+          serving_table_publisher::options(),
           time,
           sink,
           tables,
           *dispatch,
-          serving_desk::notices{
+          serving_table_publisher::callbacks{
               [this](std::shared_ptr<const deployment> configuration)
               {
-                  this->placement->configured(configuration);
-                  this->quotas->configured(*configuration);
-                  this->tell.on_deployment(std::move(configuration));
+                  this->placement->deployment_changed(configuration);
+                  this->quotas->deployment_changed(*configuration);
+                  this->notify.on_deployment(std::move(configuration));
               },
               [this]
               {
                   this->placement->servers_changed();
-                  this->pace->servers_changed();
+                  this->limit_controller->servers_changed();
               }}))
     , copies(std::make_unique<copy_exchange>(
-          this->loop, copy_options(wanted), this->meter))
+          this->loop, copy_options(initial_settings), this->meter))
     , directory(std::make_unique<users_platform::store_directory>(
           this->loop,
-          directory_options(wanted),
+          directory_options(initial_settings),
           time,
           sink,
           this->meter,
           *this->copies))
     , peers(std::make_unique<gateway_peers>(
-          this->loop, udp_endpoint(wanted.listen.peers), sink, this->meter))
-    , quotas(std::make_unique<quota_desk>(
-          this->loop, quota_options(wanted), time, sink, *this->peers))
-    , pace(std::make_unique<pace_desk>(
           this->loop,
-          pace_desk::options{wanted.vm.name},
+          udp_endpoint(initial_settings.listen.peers),
+          sink,
+          this->meter))
+    , quotas(std::make_unique<quota_controller>(
+          this->loop,
+          quota_options(initial_settings),
+          time,
+          sink,
+          *this->peers))
+    , limit_controller(std::make_unique<server_limit_controller>(
+          this->loop,
+          server_limit_controller::options{initial_settings.vm.name},
           time,
           sink,
-          this->desk->view(),
+          this->serving->view(),
           *dispatch,
           *this->quotas,
-          pace_desk::notices{
-              [this](const server_limit_word& word)
+          server_limit_controller::callbacks{
+              [this](const server_limit_word& message)
               {
-                  this->peers->send(this->other_addresses(), word);
+                  this->peers->send(this->other_addresses(), message);
               },
               [this](std::map<std::string, double, std::less<>> rates)
               {
-                  this->placement->limits_named(std::move(rates));
+                  this->placement->rate_limits_changed(std::move(rates));
               }}))
     , commands(std::make_unique<users_platform::engine_commands>(
-          this->loop, command_options(wanted), this->meter))
-    , placement(std::make_unique<placement_desk>(
+          this->loop, command_options(initial_settings), this->meter))
+    , placement(std::make_unique<placement_controller>(
           this->loop,
-          placement_options(wanted),
-          wanted.vm.name,
+          placement_options(initial_settings),
+          initial_settings.vm.name,
           time,
           sink,
           *this->commands,
-          this->desk->view(),
+          this->serving->view(),
           [this]
           {
               return this->router_names();
           },
           [this](
-              const owner_announcement& word,
+              const owner_announcement& message,
               std::span<const std::string> routers)
           {
-              this->tell_routers(word, routers);
+              this->send_announcement(message, routers);
           }))
-    , teller(
+    , reporter(
           this->loop,
-          wanted.vm.name,
+          initial_settings.vm.name,
           time,
           this->usage,
-          [this](router_report word)
+          [this](router_report message)
           {
-              this->send_to_owner(std::move(word));
+              this->send_to_owner(std::move(message));
           })
-    , uses_timer(this->loop)
+    , usage_report_timer(this->loop)
 {
 }
 
@@ -141,13 +148,13 @@
         [this]
         {
             this->owner_missing_since = this->clock.now();
-            this->desk->start();
+            this->serving->start();
             this->peers->start(*this);
             this->placement->start();
             this->quotas->start();
             this->copies->serve(*this->directory);
             this->directory->start(*this);
-            this->arm_uses();
+            this->schedule_usage_report();
         });
     this->thread = std::thread(
         [this]
@@ -164,7 +171,7 @@
     }
     catch (const std::exception& error)
     {
-        this->tell.on_failure(error.what());
+        this->notify.on_failure(error.what());
     }
 }
 
@@ -178,54 +185,55 @@
         });
 }
 
-void gateway_control::demand_arose(const demand& waiting)
+void gateway_control::demand_waiting(const demand& waiting)
 {
     asio::post(
         this->loop,
         [this, waiting]
         {
-            this->teller.arose(waiting);
+            this->reporter.update_demand(waiting);
         });
 }
 
-void gateway_control::arm_uses()
+void gateway_control::schedule_usage_report()
 {
-    this->uses_timer.expires_after(usage_report_interval(this->alive));
-    this->uses_timer.async_wait(
+    this->usage_report_timer.expires_after(
+        usage_report_interval(this->live_routers));
+    this->usage_report_timer.async_wait(
         [this](const boost::system::error_code& error)
         {
             if (error)
                 return;
-            this->teller.tick();
-            this->look_for_owner();
+            this->reporter.tick();
+            this->check_owner();
             if (this->crashes.tick(this->clock.now()))
-                this->desk->blocked_changed(this->crashes.blocked());
-            this->arm_uses();
+                this->serving->set_blocked_requests(this->crashes.blocked());
+            this->schedule_usage_report();
         });
 }
 
-void gateway_control::send_to_owner(router_report word)
+void gateway_control::send_to_owner(router_report message)
 {
     if (!this->owner)
         return;
     if (this->owner->address.empty())
     {
-        this->placement->word_heard(word);
+        this->placement->router_report_received(message);
         return;
     }
     const std::string addresses[] = {this->owner->address};
-    this->peers->send(addresses, word);
+    this->peers->send(addresses, message);
 }
 
-void gateway_control::look_for_owner()
+void gateway_control::check_owner()
 {
     const instant now = this->clock.now();
-    if (this->owner && now - this->owner->heard > owner_lifetime)
+    if (this->owner && now - this->owner->last_heard > owner_timeout)
         this->owner_lost(now);
     const duration missing =
         this->owner ? duration::zero() : now - this->owner_missing_since;
-    this->desk->orders_possible(missing <= longest_vacancy);
-    if (missing >= first_listening)
+    this->serving->set_loading_possible(missing <= max_ownerless_period);
+    if (missing >= initial_listen_period)
         this->directory->owner_heard(false);
 }
 
@@ -233,7 +241,7 @@
 {
     this->owner.reset();
     // The loss is certain, so the initial listening period is skipped.
-    this->owner_missing_since = now - first_listening;
+    this->owner_missing_since = now - initial_listen_period;
     this->directory->owner_heard(false);
 }
 
@@ -259,84 +267,86 @@
     return addresses;
 }
 
-void gateway_control::tell_routers(
-    const owner_announcement& word, std::span<const std::string> routers)
+void gateway_control::send_announcement(
+    const owner_announcement& message, std::span<const std::string> routers)
 {
     std::vector<std::string> addresses;
     for (const std::string& name : routers)
     {
         const auto found = this->router_addresses.find(name);
         if (name == this->settings.vm.name)
-            this->take_owner_word(word, {});
+            this->apply_announcement(message, {});
         else if (found != this->router_addresses.end())
             addresses.push_back(found->second);
     }
-    this->peers->send(addresses, word);
+    this->peers->send(addresses, message);
 }
 
-void gateway_control::router_word_heard(const router_report& word)
+void gateway_control::router_word_heard(const router_report& message)
 {
-    this->placement->word_heard(word);
+    this->placement->router_report_received(message);
 }
 
 void gateway_control::owner_word_heard(
-    const owner_announcement& word, std::string_view from)
+    const owner_announcement& message, std::string_view from)
 {
-    this->placement->other_owner_heard(word.tenure);
-    this->directory->another_owns(word.tenure);
-    this->take_owner_word(word, from);
+    this->placement->other_owner_announced(message.tenure);
+    this->directory->another_owns(message.tenure);
+    this->apply_announcement(message, from);
 }
 
-void gateway_control::take_owner_word(
-    const owner_announcement& word, std::string_view from)
+void gateway_control::apply_announcement(
+    const owner_announcement& message, std::string_view from)
 {
-    if (this->owner && word.tenure < this->owner->fence)
+    if (this->owner && message.tenure < this->owner->fence)
         return;
-    const bool is_new_owner = !this->owner || this->owner->name != word.owner;
+    const bool is_new_owner =
+        !this->owner || this->owner->name != message.owner;
     const instant now = this->clock.now();
-    if (word.ownership_released)
+    if (message.ownership_released)
     {
         this->owner_lost(now);
         return;
     }
-    this->owner = {word.owner, std::string(from), word.tenure, now};
-    this->directory->owner_heard(!word.term_expired);
-    this->alive = std::max<std::size_t>(word.routers, 1);
-    for (const engine_residency& engine : word.engines)
-        this->desk->residency_heard(engine);
-    for (const announced_load_forecast& one : word.load_forecasts)
-        this->desk->outlook_heard(one.model, now + duration(one.ready_in_us));
+    this->owner = {message.owner, std::string(from), message.tenure, now};
+    this->directory->owner_heard(!message.term_expired);
+    this->live_routers = std::max<std::size_t>(message.routers, 1);
+    for (const engine_residency& engine : message.engines)
+        this->serving->residency_announced(engine);
+    for (const announced_load_forecast& one : message.load_forecasts)
+        this->serving->forecast_announced(
+            one.model, now + duration(one.ready_in_us));
     if (is_new_owner)
-        this->teller.tell_all();
+        this->reporter.report_all();
 }
 
-void gateway_control::break_word_heard(const connection_loss_report& word)
+void gateway_control::break_word_heard(const connection_loss_report& message)
 {
-    this->take_break(word);
+    this->record_connection_loss(message);
 }
 
-void gateway_control::directory_word_heard(const directory_word& word)
+void gateway_control::directory_word_heard(const directory_word& message)
 {
-    this->directory->word_heard(word);
+    this->directory->word_heard(message);
 }
 
 void gateway_control::quota_ask_heard(
     const quota_ask& ask, std::string_view from)
 {
-    this->quotas->ask_heard(ask, from);
+    this->quotas->request_received(ask, from);
 }
 
 void gateway_control::quota_answer_heard(const quota_answer& answer)
 {
-    this->quotas->answer_heard(answer);
+    this->quotas->answer_received(answer);
 }
 
-void gateway_control::server_limit_word_heard(const server_limit_word& word)
+void gateway_control::server_limit_word_heard(const server_limit_word& message)
 {
-    this->pace->word_heard(word);
+    this->limit_controller->limits_received(message);
 }
 
-void gateway_control::run_ended(
+void gateway_control::request_ended(
     const std::string& servable, const std::string& engine)
 {
     if (!this->usage.ended(servable, engine))
@@ -345,7 +355,7 @@
         this->loop,
         [this]
         {
-            this->teller.use_ended();
+            this->reporter.usage_ended();
         });
 }
 
@@ -356,48 +366,49 @@
         this->loop,
         [this, servable, engine]
         {
-            this->desk->contradicted(engine, servable);
+            this->serving->servable_refused(engine, servable);
         });
 }
 
-void gateway_control::server_unreached(const std::string& server)
+void gateway_control::server_unreachable(const std::string& server)
 {
     asio::post(
         this->loop,
         [this, server]
         {
-            if (!this->desk->unreached(server))
+            if (!this->serving->server_unreachable(server))
                 return;
-            router_report word = this->teller.make_word();
-            word.unreachable_engines.push_back(server);
-            this->send_to_owner(std::move(word));
+            router_report message = this->reporter.make_report();
+            message.unreachable_engines.push_back(server);
+            this->send_to_owner(std::move(message));
         });
 }
 
-void gateway_control::connection_broke(
+void gateway_control::connection_lost(
     const std::string& server, fingerprint request)
 {
     asio::post(
         this->loop,
         [this, server, request]
         {
-            const connection_loss_report word{
+            const connection_loss_report message{
                 this->settings.vm.name, request.value, server};
-            this->peers->send(this->other_addresses(), word);
-            this->take_break(word);
+            this->peers->send(this->other_addresses(), message);
+            this->record_connection_loss(message);
         });
 }
 
-void gateway_control::take_break(const connection_loss_report& word)
+void gateway_control::record_connection_loss(
+    const connection_loss_report& message)
 {
     this->crashes.record_break(
-        fingerprint(word.request), word.server, this->clock.now());
+        fingerprint(message.request), message.server, this->clock.now());
 }
 
 void gateway_control::server_lost(std::string_view server)
 {
     if (this->crashes.server_lost(server, this->clock.now()))
-        this->desk->blocked_changed(this->crashes.blocked());
+        this->serving->set_blocked_requests(this->crashes.blocked());
 }
 
 void gateway_control::stop()
@@ -412,12 +423,12 @@
             this->directory->stop();
             this->peers->stop();
             this->placement->stop();
-            this->pace->stop();
+            this->limit_controller->stop();
             this->quotas->stop();
-            this->desk->stop();
-            this->teller.stop();
-            this->uses_timer.cancel();
-            this->work.reset();
+            this->serving->stop();
+            this->reporter.stop();
+            this->usage_report_timer.cancel();
+            this->work_guard.reset();
             this->loop.stop();
         });
     this->thread.join();
@@ -426,32 +437,32 @@
 void gateway_control::deployment_read(
     std::shared_ptr<const deployment> configuration)
 {
-    this->desk->deployment_read(std::move(configuration));
+    this->serving->deployment_read(std::move(configuration));
 }
 
 void gateway_control::deployment_behind(bool stale)
 {
-    this->behind = stale;
+    this->deployment_stale = stale;
 }
 
 void gateway_control::servers_listed(std::vector<server_entry> all)
 {
-    this->desk->servers_listed(std::move(all));
+    this->serving->servers_listed(std::move(all));
 }
 
 void gateway_control::server_read(server_entry entry)
 {
-    const auto known = this->desk->view().servers().find(entry.id);
-    if (known != this->desk->view().servers().end() &&
+    const auto known = this->serving->view().servers().find(entry.id);
+    if (known != this->serving->view().servers().end() &&
         known->second.entry.born_ms != entry.born_ms)
         this->server_lost(entry.id);
-    this->desk->server_read(std::move(entry));
+    this->serving->server_read(std::move(entry));
 }
 
 void gateway_control::server_removed(std::string_view id)
 {
     this->server_lost(id);
-    this->desk->server_removed(id);
+    this->serving->server_removed(id);
 }
 
 void gateway_control::routers_listed(std::vector<router_address> all)
@@ -471,13 +482,13 @@
 {
     if (!this->owner || this->owner->name != this->settings.vm.name)
         return;
-    owner_announcement word;
-    word.owner = this->settings.vm.name;
-    word.tenure = this->owner->fence;
-    word.routers = static_cast<std::uint32_t>(this->alive);
-    word.ownership_released = true;
+    owner_announcement message;
+    message.owner = this->settings.vm.name;
+    message.tenure = this->owner->fence;
+    message.routers = static_cast<std::uint32_t>(this->live_routers);
+    message.ownership_released = true;
     const std::vector<std::string> all = this->router_names();
-    this->tell_routers(word, all);
+    this->send_announcement(message, all);
 }
 
 void gateway_control::term_ended()
@@ -490,26 +501,26 @@
 
 void gateway_control::directory_lost()
 {
-    this->lost_at = this->clock.now();
+    this->store_lost_at = this->clock.now();
     this->events.report(event_id::store_lost);
 }
 
 void gateway_control::directory_back()
 {
     const auto away = std::chrono::duration_cast<std::chrono::milliseconds>(
-        this->clock.now() - this->lost_at);
+        this->clock.now() - this->store_lost_at);
     this->events.report(event_id::store_back, {{"away_ms", away.count()}});
     this->registry_back();
 }
 
 void gateway_control::registry_back()
 {
-    this->desk->store_back();
+    this->serving->store_recovered();
 }
 
-void gateway_control::store_read(const directory_word& word)
+void gateway_control::store_read(const directory_word& message)
 {
-    this->peers->send(this->other_addresses(), word);
+    this->peers->send(this->other_addresses(), message);
 }
 
 } // namespace roseworks::app
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -4,12 +4,12 @@
 #include "adapters/peers/gateway_peers.hpp"
 #include "adapters/platform/byte_meter.hpp"
 #include "adapters/settings/gateway_settings.hpp"
-#include "app/gateway/need_teller.hpp"
-#include "app/gateway/pace_desk.hpp"
-#include "app/gateway/placement_desk.hpp"
-#include "app/gateway/quota_desk.hpp"
-#include "app/gateway/serving_desk.hpp"
-#include "app/gateway/usage_meter.hpp"
+#include "app/gateway/demand_reporter.hpp"
+#include "app/gateway/placement_controller.hpp"
+#include "app/gateway/quota_controller.hpp"
+#include "app/gateway/server_limit_controller.hpp"
+#include "app/gateway/serving_table_publisher.hpp"
+#include "app/gateway/usage_counter.hpp"
 #include "app/table_holder.hpp"
 #include "core/request/crash_detector.hpp"
 #include "ports/clock.hpp"
@@ -45,7 +45,7 @@
                               private gateway_peer_listener
 {
 public:
-    struct notices
+    struct callbacks
     {
         /// Called on the control thread.
         std::function<void(std::shared_ptr<const deployment>)> on_deployment;
@@ -58,7 +58,7 @@
         event_sink& events,
         newest_table<serving_table_ptr>& tables,
         std::shared_ptr<edge::shared_dispatcher> dispatch,
-        notices told);
+        callbacks handlers);
     ~gateway_control() override;
 
     gateway_control(const gateway_control&) = delete;
@@ -71,7 +71,7 @@
     void resign();
 
     /// Requests for a servable are waiting on this router.
-    void demand_arose(const demand& waiting);
+    void demand_waiting(const demand& waiting);
 
     /// An engine refused a request because it doesn't hold the servable, though
     /// this router's view says that it does.
@@ -79,63 +79,65 @@
 
     /// No connection to a server could be opened.
     /// @param server id of its registry entry.
-    void server_unreached(const std::string& server);
+    void server_unreachable(const std::string& server);
 
     /// The connection was lost during a request that the server may have
     /// started.
     /// @param server id of its registry entry.
-    void connection_broke(const std::string& server, fingerprint request);
+    void connection_lost(const std::string& server, fingerprint request);
 
     /// Stops and joins the thread.
     void stop();
 
     /// A request for a servable was sent to an engine.
-    void run_started(const std::string& servable, const std::string& engine)
+    void request_started(const std::string& servable, const std::string& engine)
     {
         this->usage.started(servable, engine);
     }
 
     /// A request that was sent to an engine has ended.
-    void run_ended(const std::string& servable, const std::string& engine);
+    void request_ended(const std::string& servable, const std::string& engine);
 
     /// A server answered a request.
-    /// @param server id of its registry entry.
-    /// @param named  Rate limit that the answer names, in requests per second;
-    ///               empty if it names none.
-    /// @param sent   When the request was sent.
+    /// @param server      id of its registry entry.
+    /// @param named_limit Rate limit that the answer names, in requests per
+    ///                    second; empty if it names none.
+    /// @param sent        When the request was sent.
     void server_answered(
-        const std::string& server, std::optional<double> named, instant sent)
+        const std::string& server,
+        std::optional<double> named_limit,
+        instant sent)
     {
-        this->pace->answered(server, named, sent);
+        this->limit_controller->answered(server, named_limit, sent);
     }
 
     /// The dispatcher needs a permit to send to a rate-limited server.
-    void permit_needed(const permit_wanted& request)
+    void permit_needed(const permit_wanted& wanted)
     {
-        this->pace->permit_needed(request);
+        this->limit_controller->permit_needed(wanted);
     }
 
     /// @return The port to the limits of organisations.
-    quota_port& limits()
+    quota_port& organisation_limits()
     {
         return *this->quotas;
     }
 
     bool ready() const
     {
-        return this->desk->ready();
+        return this->serving->ready();
     }
 
     /// @return Whether another router is known to have a newer configuration.
-    bool is_behind() const
+    bool is_deployment_stale() const
     {
-        return this->behind;
+        return this->deployment_stale;
     }
 
     /// @return The number of routers considered alive, including this one.
-    std::size_t routers() const
+    std::size_t live_router_count() const
     {
-        return this->alive;
+        return this->live_routers;
     }
 
 private:
@@ -153,31 +155,33 @@
     void directory_lost() override;
     void directory_back() override;
     void registry_back() override;
-    void store_read(const directory_word& word) override;
+    void store_read(const directory_word& message) override;
 
     // gateway_peer_listener
-    void router_word_heard(const router_report& word) override;
+    void router_word_heard(const router_report& message) override;
     void owner_word_heard(
-        const owner_announcement& word, std::string_view from) override;
-    void break_word_heard(const connection_loss_report& word) override;
-    void directory_word_heard(const directory_word& word) override;
+        const owner_announcement& message, std::string_view from) override;
+    void break_word_heard(const connection_loss_report& message) override;
+    void directory_word_heard(const directory_word& message) override;
     void quota_ask_heard(const quota_ask& ask, std::string_view from) override;
     void quota_answer_heard(const quota_answer& answer) override;
-    void server_limit_word_heard(const server_limit_word& word) override;
+    void server_limit_word_heard(const server_limit_word& message) override;
 
     void run();
-    void take_owner_word(const owner_announcement& word, std::string_view from);
-    void tell_routers(
-        const owner_announcement& word, std::span<const std::string> routers);
-    void arm_uses();
-    void look_for_owner();
+    void apply_announcement(
+        const owner_announcement& message, std::string_view from);
+    void send_announcement(
+        const owner_announcement& message,
+        std::span<const std::string> routers);
+    void schedule_usage_report();
+    void check_owner();
     void owner_lost(instant now);
-    void take_break(const connection_loss_report& word);
+    void record_connection_loss(const connection_loss_report& message);
     void server_lost(std::string_view server);
     std::vector<std::string> router_names() const;
     /// @return The addresses of all routers except this one.
     std::vector<std::string> other_addresses() const;
-    void send_to_owner(router_report word);
+    void send_to_owner(router_report message);
 
     /// The owner of placement, from its latest announcement.
     struct known_owner
@@ -185,35 +189,35 @@
         std::string name;
         std::string address; ///< empty if it is this router
         std::uint64_t fence = 0;
-        instant heard; ///< when its latest announcement was received
+        instant last_heard; ///< when its latest announcement was received
     };
 
     settings::gateway_settings settings;
     const clock_port& clock;
     event_sink& events;
-    notices tell;
+    callbacks notify;
     boost::asio::io_context loop;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        work;
+        work_guard;
     platform::byte_meter meter;
-    std::unique_ptr<serving_desk> desk;
+    std::unique_ptr<serving_table_publisher> serving;
     std::unique_ptr<directory_copy_port> copies;
     std::unique_ptr<directory_port> directory;
     std::unique_ptr<gateway_peer_port> peers;
-    std::unique_ptr<quota_desk> quotas;
-    std::unique_ptr<pace_desk> pace;
+    std::unique_ptr<quota_controller> quotas;
+    std::unique_ptr<server_limit_controller> limit_controller;
     std::unique_ptr<engine_command_port> commands;
-    std::unique_ptr<placement_desk> placement;
-    usage_meter usage;
+    std::unique_ptr<placement_controller> placement;
+    usage_counter usage;
     crash_detector crashes{crash_detector::options()};
     std::map<std::string, std::string> router_addresses; ///< by name
     std::optional<known_owner> owner;
     instant owner_missing_since;
-    need_teller teller;
-    boost::asio::steady_timer uses_timer;
-    std::atomic<std::size_t> alive{1};
-    std::atomic<bool> behind{false};
-    instant lost_at;
+    demand_reporter reporter;
+    boost::asio::steady_timer usage_report_timer;
+    std::atomic<std::size_t> live_routers{1};
+    std::atomic<bool> deployment_stale{false};
+    instant store_lost_at;
     std::thread thread;
 };
 
--- a/src/app/gateway/gateway_options.cpp
+++ b/src/app/gateway/gateway_options.cpp
@@ -17,17 +17,17 @@
 /// Cores and link (Mbit/s) of a VM of capacity 1. A placement owner needs some
 /// Mbit/s for its announcements and the answers of the store, and some
 /// hundredths of a core for planning.
-constexpr double usual_cores = 0.25;
-constexpr double usual_link = 100;
+constexpr double reference_cores = 0.25;
+constexpr double reference_link_mbps = 100;
 
 /// Share of the owner's link for announcements to routers that don't wait for
 /// them. The rest is for callers' requests.
-constexpr double words_share_of_link = 0.025;
+constexpr double announcement_link_share = 0.025;
 constexpr double bytes_per_mbit = 125'000;
 
 /// Maximum size of one update from the store that a router sends to all others,
 /// as a share of what its link carries in a second.
-constexpr double told_share_of_link = 0.2;
+constexpr double update_link_share = 0.2;
 
 asio::ip::tcp::endpoint tcp_endpoint(const settings::socket_address& address)
 {
@@ -36,14 +36,14 @@
 
 } // namespace
 
-placement_desk::options
+placement_controller::options
 placement_options(const settings::gateway_settings& settings)
 {
-    placement_desk::options made;
+    placement_controller::options made;
     made.lease = settings.bounds.lease;
     made.fences_checked = settings.bounds.fences_checked;
-    made.words.spare_bytes_per_second =
-        settings.vm.link_mbps * bytes_per_mbit * words_share_of_link;
+    made.announcements.budget_bytes_per_second =
+        settings.vm.link_mbps * bytes_per_mbit * announcement_link_share;
     made.planner.store_limiter.window = settings.bounds.load_window;
     made.planner.store_limiter.rate_factor = settings.bounds.load_factor;
     return made;
@@ -57,13 +57,13 @@
     return made;
 }
 
-quota_desk::options quota_options(const settings::gateway_settings& settings)
+quota_controller::options
+quota_options(const settings::gateway_settings& settings)
 {
-    quota_desk::options made;
+    quota_controller::options made;
     made.router = settings.vm.name;
-    constexpr std::chrono::milliseconds shortest_window{100};
-    made.bounds.window =
-        std::max(settings.bounds.limit_window, shortest_window);
+    constexpr std::chrono::milliseconds min_window{100};
+    made.bounds.window = std::max(settings.bounds.limit_window, min_window);
     made.bounds.excess = settings.bounds.limit_excess;
     made.bounds.slack = settings.bounds.limit_slack;
     std::random_device device;
@@ -74,13 +74,13 @@
 copy_exchange::options copy_options(const settings::gateway_settings& settings)
 {
     // One copy is sent at a time for each 25 Mbit/s of the link, within bounds.
-    constexpr double mbps_for_each = 25;
-    constexpr double fewest = 1;
-    constexpr double most = 8;
+    constexpr double mbps_per_copy = 25;
+    constexpr double min_copies = 1;
+    constexpr double max_copies = 8;
     copy_exchange::options made;
     made.listen = tcp_endpoint(settings.listen.peers);
-    made.most_at_once = static_cast<std::size_t>(
-        std::clamp(settings.vm.link_mbps / mbps_for_each, fewest, most));
+    made.most_at_once = static_cast<std::size_t>(std::clamp(
+        settings.vm.link_mbps / mbps_per_copy, min_copies, max_copies));
     return made;
 }
 
@@ -93,18 +93,17 @@
         settings.vm.name,
         settings.listen.peers.to_string(),
         std::min(
-            settings.vm.cores / usual_cores,
-            settings.vm.link_mbps / usual_link),
+            settings.vm.cores / reference_cores,
+            settings.vm.link_mbps / reference_link_mbps),
         settings.vm.data_centre};
     made.term = std::max(made.term, settings.store.shortest_term);
     // Ages are at most half of their bounds, which leaves time for one lost
     // read and a repeat.
-    constexpr std::chrono::milliseconds shortest_age{100};
-    made.registry_age =
-        std::max(settings.bounds.leaving * 9 / 20, shortest_age);
-    made.config_age = std::max(settings.bounds.configuration / 2, shortest_age);
+    constexpr std::chrono::milliseconds min_age{100};
+    made.registry_age = std::max(settings.bounds.leaving * 9 / 20, min_age);
+    made.config_age = std::max(settings.bounds.configuration / 2, min_age);
     made.most_told_bytes = static_cast<std::size_t>(
-        settings.vm.link_mbps * bytes_per_mbit * told_share_of_link);
+        settings.vm.link_mbps * bytes_per_mbit * update_link_share);
     made.lease = settings.bounds.lease;
     made.first_start = settings.vm.first_start;
     made.seed = std::random_device()();
--- a/src/app/gateway/gateway_options.hpp
+++ b/src/app/gateway/gateway_options.hpp
@@ -2,8 +2,8 @@
 
 #include "adapters/peers/copy_exchange.hpp"
 #include "adapters/settings/gateway_settings.hpp"
-#include "app/gateway/placement_desk.hpp"
-#include "app/gateway/quota_desk.hpp"
+#include "app/gateway/placement_controller.hpp"
+#include "app/gateway/quota_controller.hpp"
 #include "platform/engine_commands.hpp"
 #include "platform/store_directory.hpp"
 
@@ -11,7 +11,7 @@
 {
 
 /// @return Options of placement: planning, and orders to engines.
-placement_desk::options
+placement_controller::options
 placement_options(const settings::gateway_settings& settings);
 
 /// @return Options of the calls that send orders to engines.
@@ -19,7 +19,8 @@
 command_options(const settings::gateway_settings& settings);
 
 /// @return Options of the limits of organisations.
-quota_desk::options quota_options(const settings::gateway_settings& settings);
+quota_controller::options
+quota_options(const settings::gateway_settings& settings);
 
 /// @return Options of the exchange of copies with other routers. The link of
 ///         the VM bounds how many copies are sent at once.
--- a/src/app/gateway/placement_desk.cpp
+++ b/src/app/gateway/placement_controller.cpp
@@ -1,4 +1,4 @@
-#include "app/gateway/placement_desk.hpp"
+#include "app/gateway/placement_controller.hpp"
 
 #include "core/serving/servable_key.hpp"
 
@@ -23,9 +23,9 @@
 /// Minimum interval between two runs of the planner, in proportion to the
 /// number of engines because the cost of a run grows with it. Demand that comes
 /// meanwhile is planned for together.
-constexpr duration plan_pause_per_engine{100};
-constexpr duration shortest_plan_pause = milliseconds(1);
-constexpr duration longest_plan_pause = milliseconds(10);
+constexpr duration plan_interval_per_engine{100};
+constexpr duration min_plan_interval = milliseconds(1);
+constexpr duration max_plan_interval = milliseconds(10);
 
 std::string_view to_string(engine_action action)
 {
@@ -69,7 +69,8 @@
 /// @return Whether a report comes from a later run at the engine's address: a
 ///         restart resets the order count. A lower count alone doesn't show
 ///         this, since reports lag by up to two orders.
-bool is_of_later_run(const engine_state& engine, const holdings_report& report)
+bool is_from_later_run(
+    const engine_state& engine, const holdings_report& report)
 {
     constexpr std::uint64_t max_report_lag = 2; // orders
     return report.orders_taken + max_report_lag < engine.orders_taken;
@@ -82,99 +83,100 @@
 
 } // namespace
 
-placement_desk::placement_desk(
+placement_controller::placement_controller(
     asio::io_context& context,
-    options chosen,
+    options initial_settings,
     std::string own_name,
     const clock_port& time,
     event_sink& sink,
     engine_command_port& orders,
     const serving_view& known,
-    residency_teller::router_lister all,
-    residency_teller::sender told)
+    residency_announcer::router_lister lister,
+    residency_announcer::sender send_announcement)
     : loop(context)
-    , settings(chosen)
+    , settings(initial_settings)
     , clock(time)
     , events(sink)
     , commands(orders)
     , view(known)
-    , book(chosen.engines)
-    , needs(chosen.needs)
-    , planner(chosen.planner)
-    , words(
+    , tracker(initial_settings.engines)
+    , demands(initial_settings.demands)
+    , planner(initial_settings.planner)
+    , announcer(
           context,
-          chosen.words,
+          initial_settings.announcements,
           std::move(own_name),
           time,
-          this->book,
-          this->needs,
-          std::move(all),
-          std::move(told))
+          this->tracker,
+          this->demands,
+          std::move(lister),
+          std::move(send_announcement))
     , step_timer(context)
 {
 }
 
-void placement_desk::start()
+void placement_controller::start()
 {
-    this->words.start();
+    this->announcer.start();
 }
 
-void placement_desk::stop()
+void placement_controller::stop()
 {
     this->stopped = true;
     this->step_timer.cancel();
-    this->words.stop();
+    this->announcer.stop();
 }
 
-void placement_desk::configured(std::shared_ptr<const deployment> configuration)
+void placement_controller::deployment_changed(
+    std::shared_ptr<const deployment> configuration)
 {
-    this->book.set_configuration(std::move(configuration));
+    this->tracker.set_configuration(std::move(configuration));
     this->servers_changed();
 }
 
-void placement_desk::servers_changed()
+void placement_controller::servers_changed()
 {
     // Only the owner tracks engines; a new owner reads the whole view.
     // Thousands of servers change all the time, and other routers don't need
     // this.
-    if (this->at_work)
-        this->list_servers();
+    if (this->active)
+        this->sync_engines();
 }
 
-void placement_desk::list_servers()
+void placement_controller::sync_engines()
 {
     if (!this->view.config())
         return;
     std::vector<std::string> gone;
-    for (const auto& [id, engine] : this->book.all())
+    for (const auto& [id, engine] : this->tracker.all())
     {
         const auto found = this->view.servers().find(id);
         if (found == this->view.servers().end() || found->second.superseded)
             gone.push_back(id);
     }
     for (const std::string& id : gone)
-        this->book.remove(id);
+        this->tracker.remove(id);
     for (const auto& [id, server] : this->view.servers())
     {
         const service_profile* service =
             this->view.config()->find_service(server.entry.service);
         if (service == nullptr || !service->engine || server.superseded)
             continue;
-        const bool is_new = this->book.update_entry(server.entry);
-        if (is_new && this->at_work)
-            this->examine(id, milliseconds(0));
+        const bool is_new = this->tracker.update_entry(server.entry);
+        if (is_new && this->active)
+            this->schedule_report_read(id, milliseconds(0));
     }
-    this->book.set_rate_limits(this->named_limits);
+    this->tracker.set_rate_limits(this->rate_limits);
 }
 
-void placement_desk::limits_named(
+void placement_controller::rate_limits_changed(
     std::map<std::string, double, std::less<>> requests_per_second)
 {
-    this->named_limits = std::move(requests_per_second);
-    this->book.set_rate_limits(this->named_limits);
+    this->rate_limits = std::move(requests_per_second);
+    this->tracker.set_rate_limits(this->rate_limits);
 }
 
-bool placement_desk::owns(instant now) const
+bool placement_controller::owns(instant now) const
 {
     if (!this->tenure)
         return false;
@@ -184,129 +186,129 @@
     return now < this->tenure->until || this->settings.fences_checked;
 }
 
-void placement_desk::tenure_changed(std::optional<placement_tenure> held)
+void placement_controller::tenure_changed(std::optional<placement_tenure> held)
 {
     const bool owned = this->tenure.has_value();
     const bool is_new = held && (!owned || held->fence != this->tenure->fence);
     // After the term, another router may have owned placement meanwhile.
     const bool expired = owned && this->clock.now() > this->tenure->until;
     if (owned && (!held || (is_new && expired)))
-        this->give_up(
+        this->end_ownership(
             held ? "the term has expired"
-                 : "the store no longer lists this router as the owner");
+                 : "the tenure was lost or could not be renewed");
     this->tenure = held;
     if (is_new)
-        this->take_up();
-    else if (held && this->at_work)
-        this->words.owned_under(held->fence);
+        this->start_ownership();
+    else if (held && this->active)
+        this->announcer.set_fence(held->fence);
 }
 
-void placement_desk::term_ended()
+void placement_controller::term_ended()
 {
-    this->words.term_ended();
+    this->announcer.term_ended();
 }
 
-void placement_desk::take_up()
+void placement_controller::start_ownership()
 {
     this->events.report(
         event_id::placement_owned, {{"fence", this->tenure->fence}});
-    this->words.owned_under(this->tenure->fence);
-    if (!this->at_work)
-        this->list_servers();
-    const bool continued = std::exchange(this->at_work, true);
+    this->announcer.set_fence(this->tenure->fence);
+    if (!this->active)
+        this->sync_engines();
+    const bool continued = std::exchange(this->active, true);
     if (continued)
         return; // renewed with a new number: the tracked state is still valid
-    ++this->takeovers;
-    this->book.take_over(
-        this->settings.lease, std::exchange(this->another_owned, false));
-    for (const auto& [id, engine] : this->book.all())
-        this->examine(id, milliseconds(0));
-    this->arm_step();
+    ++this->takeover_count;
+    this->tracker.take_over(
+        this->settings.lease, std::exchange(this->other_owner_seen, false));
+    for (const auto& [id, engine] : this->tracker.all())
+        this->schedule_report_read(id, milliseconds(0));
+    this->schedule_step();
 }
 
-void placement_desk::give_up(std::string_view reason)
+void placement_controller::end_ownership(std::string_view reason)
 {
-    if (!std::exchange(this->at_work, false))
+    if (!std::exchange(this->active, false))
         return;
     this->events.report(
         event_id::placement_given_up,
         {{"fence", this->fence()}, {"reason", reason}});
-    this->words.owned_under(std::nullopt);
+    this->announcer.set_fence(std::nullopt);
 }
 
-void placement_desk::other_owner_heard(std::uint64_t fence)
+void placement_controller::other_owner_announced(std::uint64_t fence)
 {
-    this->another_owned = this->another_owned || fence > this->fence();
+    this->other_owner_seen = this->other_owner_seen || fence > this->fence();
     if (!this->tenure || fence <= this->tenure->fence)
         return;
-    this->give_up("another router announced a later tenure");
+    this->end_ownership("another router announced a later tenure");
     this->tenure.reset();
 }
 
-void placement_desk::word_heard(const router_report& word)
+void placement_controller::router_report_received(const router_report& message)
 {
-    if (!this->needs.apply_router_report(word, this->clock.now()) ||
-        !this->at_work)
+    if (!this->demands.apply_router_report(message, this->clock.now()) ||
+        !this->active)
         return;
     // If an engine already holds the model, the router that reports demand has
     // missed the announcement.
-    for (const servable_need& need : word.needs)
+    for (const servable_need& need : message.needs)
     {
-        for (const auto& [id, engine] : this->book.all())
+        for (const auto& [id, engine] : this->tracker.all())
         {
             if (need.waiting != 0 && engine.state_confirmed &&
                 !engine.entry.leaving && engine.holds(need.servable))
-                this->words.needed_by(word.router, id);
+                this->announcer.announce_to(message.router, id);
         }
     }
-    for (const std::string& engine : word.unreachable_engines)
-        this->look_at(engine);
-    if (!word.needs.empty())
+    for (const std::string& engine : message.unreachable_engines)
+        this->check_reachability(engine);
+    if (!message.needs.empty())
         this->step();
 }
 
-void placement_desk::step()
+void placement_controller::step()
 {
-    if (this->stopped || !this->at_work)
+    if (this->stopped || !this->active)
         return;
     const instant now = this->clock.now();
-    for (const finished_order& done : this->book.complete_due_orders(now))
-        this->words.changed(done.engine, done.servable);
+    for (const finished_order& done : this->tracker.complete_due_orders(now))
+        this->announcer.engine_changed(done.engine, done.servable);
     for (const std::string& engine :
-         this->book.take_unconfirmed_store_loads(now))
-        this->examine(engine, milliseconds(0));
-    this->needs.tick(now);
-    const duration pause = std::clamp<duration>(
-        plan_pause_per_engine * static_cast<int>(this->book.all().size()),
-        shortest_plan_pause,
-        longest_plan_pause);
-    const bool due = now - this->last_plan >= pause;
+         this->tracker.take_unconfirmed_store_loads(now))
+        this->schedule_report_read(engine, milliseconds(0));
+    this->demands.tick(now);
+    const duration interval = std::clamp<duration>(
+        plan_interval_per_engine * static_cast<int>(this->tracker.all().size()),
+        min_plan_interval,
+        max_plan_interval);
+    const bool due = now - this->last_plan >= interval;
     if (!due)
     {
-        this->arm_step_in(pause - (now - this->last_plan));
+        this->schedule_step_after(interval - (now - this->last_plan));
         return;
     }
     this->last_plan = now;
     if (this->owns(now) && this->view.config())
     {
         for (const swap_order& order :
-             this->planner.plan(this->book, this->needs, now))
+             this->planner.plan(this->tracker, this->demands, now))
             this->send(order);
-        this->words.foreseen(this->planner.load_forecasts());
+        this->announcer.set_forecasts(this->planner.load_forecasts());
     }
-    this->arm_step();
+    this->schedule_step();
 }
 
-void placement_desk::arm_step()
+void placement_controller::schedule_step()
 {
     const instant now = this->clock.now();
     duration wait = step_interval;
-    if (const auto next = this->book.next_completion())
+    if (const auto next = this->tracker.next_completion())
         wait = std::clamp<duration>(*next - now, duration(100), wait);
-    this->arm_step_in(wait);
+    this->schedule_step_after(wait);
 }
 
-void placement_desk::arm_step_in(duration wait)
+void placement_controller::schedule_step_after(duration wait)
 {
     this->step_timer.expires_after(wait);
     this->step_timer.async_wait(
@@ -317,9 +319,9 @@
         });
 }
 
-void placement_desk::send(const swap_order& order)
+void placement_controller::send(const swap_order& order)
 {
-    const engine_state* engine = this->book.find(order.engine);
+    const engine_state* engine = this->tracker.find(order.engine);
     const std::uint64_t fence = this->tenure->fence;
     engine_command command;
     command.engine = order.engine;
@@ -347,15 +349,16 @@
     pending.adapter = order.adapter;
     pending.source = order.source;
     const auto* use =
-        this->needs.find_use(order.engine, servable_of(*engine, order));
+        this->demands.find_use(order.engine, servable_of(*engine, order));
     pending.running = use != nullptr && use->running != 0;
-    this->book.order_sent(order.engine, std::move(pending), now);
+    this->tracker.order_sent(order.engine, std::move(pending), now);
     if (order.action == engine_action::unload)
-        this->words.changed(order.engine, servable_of(*engine, order));
+        this->announcer.engine_changed(
+            order.engine, servable_of(*engine, order));
     this->send_command({this->last_order, order, std::move(command), 0});
 }
 
-void placement_desk::send_command(sent_order sent)
+void placement_controller::send_command(sent_order sent)
 {
     const std::uint64_t fence = sent.command.fence;
     const instant sent_at = this->clock.now();
@@ -370,29 +373,29 @@
         [this, sent = std::move(sent), sent_at](command_end outcome)
         {
             if (!this->stopped)
-                this->answered(sent, sent_at, outcome);
+                this->handle_answer(sent, sent_at, outcome);
         });
 }
 
-bool placement_desk::is_pending(const sent_order& sent) const
+bool placement_controller::is_pending(const sent_order& sent) const
 {
-    const engine_state* engine = this->book.find(sent.order.engine);
+    const engine_state* engine = this->tracker.find(sent.order.engine);
     return engine != nullptr && engine->order &&
            engine->order->number == sent.number;
 }
 
-bool placement_desk::repeat(const sent_order& sent, command_end outcome)
+bool placement_controller::retry(const sent_order& sent, command_end outcome)
 {
-    if (outcome != command_end::unknown || !this->at_work ||
-        sent.repeats >= this->settings.most_repeats)
+    if (outcome != command_end::unknown || !this->active ||
+        sent.retries >= this->settings.max_retries)
         return false;
-    sent_order again = sent;
-    ++again.repeats;
-    this->send_command(std::move(again));
+    sent_order retried = sent;
+    ++retried.retries;
+    this->send_command(std::move(retried));
     return true;
 }
 
-void placement_desk::answered(
+void placement_controller::handle_answer(
     const sent_order& sent, instant sent_at, command_end outcome)
 {
     const swap_order& order = sent.order;
@@ -409,35 +412,36 @@
          {"after_ms", whole_ms(now - sent_at)}});
     if (outcome == command_end::fenced_off && this->fence() <= fence)
     {
-        this->give_up("an engine has taken a later owner's order");
+        this->end_ownership("an engine has taken a later owner's order");
         this->tenure.reset();
         return;
     }
     // Ownership may have been lost and regained since the order was sent, and
     // the engine may have another pending order now.
-    if (!this->is_pending(sent) || this->repeat(sent, outcome))
+    if (!this->is_pending(sent) || this->retry(sent, outcome))
         return;
     // A retry is out of step if the engine took an earlier copy.
     const bool earlier_taken =
-        sent.repeats != 0 && outcome == command_end::out_of_step;
+        sent.retries != 0 && outcome == command_end::out_of_step;
     if (earlier_taken)
         outcome = command_end::unknown;
-    const bool unconfirmed = this->book.order_answered(engine, outcome, now);
+    const bool unconfirmed = this->tracker.order_answered(engine, outcome, now);
     if (outcome == command_end::wrong_server)
     {
-        this->run_is_over(engine);
+        this->handle_replaced(engine);
         return;
     }
-    if (const engine_state* state = this->book.find(engine))
-        this->words.changed(engine, servable_of(*state, order));
+    if (const engine_state* state = this->tracker.find(engine))
+        this->announcer.engine_changed(engine, servable_of(*state, order));
     if (unconfirmed)
-        this->examine(engine, this->settings.report_lag);
+        this->schedule_report_read(engine, this->settings.report_lag);
     this->step();
 }
 
-void placement_desk::examine(const std::string& engine, milliseconds delay)
+void placement_controller::schedule_report_read(
+    const std::string& engine, milliseconds delay)
 {
-    if (!this->examining.insert(engine).second)
+    if (!this->pending_report_reads.insert(engine).second)
         return;
     auto timer = std::make_shared<asio::steady_timer>(this->loop);
     timer->expires_after(delay);
@@ -450,33 +454,33 @@
         });
 }
 
-void placement_desk::read_report(const std::string& engine)
+void placement_controller::read_report(const std::string& engine)
 {
-    const engine_state* state = this->book.find(engine);
-    if (state == nullptr || !this->at_work)
+    const engine_state* state = this->tracker.find(engine);
+    if (state == nullptr || !this->active)
     {
-        this->examining.erase(engine);
+        this->pending_report_reads.erase(engine);
         return;
     }
     this->commands.read_report(
         engine,
         state->entry.address,
-        [this, engine, asked_in = this->takeovers](
+        [this, engine, requested_in = this->takeover_count](
             const std::optional<holdings_report>& report)
         {
             if (this->stopped)
                 return;
-            this->examining.erase(engine);
+            this->pending_report_reads.erase(engine);
             // Another owner may have sent orders to the engine since this read
             // began.
-            if (asked_in != this->takeovers)
-                this->examine(engine, milliseconds(0));
+            if (requested_in != this->takeover_count)
+                this->schedule_report_read(engine, milliseconds(0));
             else
-                this->report_read(engine, report);
+                this->handle_report(engine, report);
         });
 }
 
-void placement_desk::report_read(
+void placement_controller::handle_report(
     const std::string& engine, const std::optional<holdings_report>& report)
 {
     this->events.report(
@@ -487,55 +491,55 @@
          {"busy", report && report->busy ? 1 : 0}});
     if (report && report->busy)
     {
-        this->examine(engine, this->settings.busy_retry);
+        this->schedule_report_read(engine, this->settings.busy_retry_delay);
         return;
     }
     if (!report)
     {
-        this->lost(engine);
+        this->handle_unreachable(engine);
         return;
     }
-    const engine_state* state = this->book.find(engine);
-    if (state != nullptr && is_of_later_run(*state, *report))
+    const engine_state* state = this->tracker.find(engine);
+    if (state != nullptr && is_from_later_run(*state, *report))
     {
-        this->run_is_over(engine);
+        this->handle_replaced(engine);
         return;
     }
     const instant now = this->clock.now();
     if (state != nullptr && state->order && state->order->is_store_load())
-        this->planner.store_load_ended(this->book, *state, now);
-    this->book.apply_engine_report(engine, *report, now);
-    this->words.changed(engine, {});
+        this->planner.store_load_ended(this->tracker, *state, now);
+    this->tracker.apply_engine_report(engine, *report, now);
+    this->announcer.engine_changed(engine, {});
     this->step();
 }
 
-void placement_desk::lost(const std::string& engine)
+void placement_controller::handle_unreachable(const std::string& engine)
 {
-    this->book.mark_unreachable(engine);
-    this->examine(engine, this->settings.examine_retry);
+    this->tracker.mark_unreachable(engine);
+    this->schedule_report_read(engine, this->settings.report_retry_delay);
     this->step();
 }
 
-void placement_desk::run_is_over(const std::string& engine)
+void placement_controller::handle_replaced(const std::string& engine)
 {
-    this->book.mark_replaced(engine);
-    this->examine(engine, this->settings.wrong_server_wait);
+    this->tracker.mark_replaced(engine);
+    this->schedule_report_read(engine, this->settings.replaced_engine_delay);
     this->step();
 }
 
-void placement_desk::look_at(const std::string& engine)
+void placement_controller::check_reachability(const std::string& engine)
 {
-    const engine_state* state = this->book.find(engine);
+    const engine_state* state = this->tracker.find(engine);
     if (state == nullptr || !state->state_confirmed ||
-        !this->looking.insert(engine).second)
+        !this->pending_checks.insert(engine).second)
         return;
     this->commands.read_report(
         engine,
         state->entry.address,
         [this, engine](const std::optional<holdings_report>& report)
         {
-            this->looking.erase(engine);
-            if (report || this->stopped || !this->at_work)
+            this->pending_checks.erase(engine);
+            if (report || this->stopped || !this->active)
                 return;
             this->events.report(
                 event_id::engine_examined,
@@ -543,7 +547,7 @@
                  {"outcome", "no_report"},
                  {"orders_taken", 0},
                  {"busy", 0}});
-            this->lost(engine);
+            this->handle_unreachable(engine);
         });
 }
 
--- a/src/app/gateway/placement_desk.hpp
+++ b/src/app/gateway/placement_controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "app/gateway/residency_teller.hpp"
+#include "app/gateway/residency_announcer.hpp"
 #include "core/serving/serving_view.hpp"
 #include "core/swapping/demand_tracker.hpp"
 #include "core/swapping/engine_tracker.hpp"
@@ -38,13 +38,13 @@
     Used on the control thread only. Has to outlive the last run of its
     io_context.
 */
-class placement_desk
+class placement_controller
 {
 public:
     struct options
     {
         engine_tracker::options engines;
-        demand_tracker::options needs;
+        demand_tracker::options demands;
         swap_planner::options planner;
         /// After it regains ownership, an owner sends no order to an engine
         /// until this time has passed since its own last order to it, so that
@@ -59,23 +59,23 @@
         /// count lets the engine take only one of the copies. Without retries,
         /// requests for the model would wait about 0.5 s longer, for the
         /// engine's report.
-        std::uint32_t most_repeats = 2;
+        std::uint32_t max_retries = 2;
         /// Delay before a report is read after an order: reports lag by about
         /// 200 ms, and an earlier read shows the state before the order.
         std::chrono::milliseconds report_lag{250};
         /// Delay before a failed read of a report is repeated.
-        std::chrono::milliseconds examine_retry{300};
+        std::chrono::milliseconds report_retry_delay{300};
         /// Delay before a report is read again while the engine carries out an
         /// order. Short, because the engine gets no new work until the end of
         /// the order is seen.
-        std::chrono::milliseconds busy_retry{100};
+        std::chrono::milliseconds busy_retry_delay{100};
         /// Delay before an engine is read again after another run answered at
         /// its address. The registry has usually removed its entry by then.
-        std::chrono::milliseconds wrong_server_wait{4000};
-        residency_teller::options words;
+        std::chrono::milliseconds replaced_engine_delay{4000};
+        residency_announcer::options announcements;
     };
 
-    placement_desk(
+    placement_controller(
         boost::asio::io_context& loop,
         options settings,
         std::string own_name,
@@ -83,19 +83,19 @@
         event_sink& events,
         engine_command_port& commands,
         const serving_view& view,
-        residency_teller::router_lister routers,
-        residency_teller::sender tell);
+        residency_announcer::router_lister routers,
+        residency_announcer::sender send_announcement);
 
     void start();
     void stop();
 
-    void configured(std::shared_ptr<const deployment> configuration);
+    void deployment_changed(std::shared_ptr<const deployment> configuration);
 
     /// The registry, or the models that engines hold, have changed.
     void servers_changed();
 
     /// @param requests_per_second Rate limits that engines name, by engine id.
-    void limits_named(
+    void rate_limits_changed(
         std::map<std::string, double, std::less<>> requests_per_second);
 
     void tenure_changed(std::optional<placement_tenure> held);
@@ -104,11 +104,11 @@
     /// placement by now.
     void term_ended();
 
-    void word_heard(const router_report& word);
+    void router_report_received(const router_report& message);
 
     /// Another router announced that it owns placement with this fencing
     /// number. A number higher than this router's ends its own tenure.
-    void other_owner_heard(std::uint64_t fence);
+    void other_owner_announced(std::uint64_t fence);
 
     bool owns(instant now) const;
 
@@ -119,7 +119,7 @@
 
     const engine_tracker& engines() const
     {
-        return this->book;
+        return this->tracker;
     }
 
 private:
@@ -130,7 +130,7 @@
         std::uint64_t number = 0; ///< of the pending order in the tracker
         swap_order order;
         engine_command command;
-        std::uint32_t repeats = 0;
+        std::uint32_t retries = 0;
     };
 
     void send(const swap_order& order);
@@ -138,25 +138,27 @@
     /// @return Whether this is still the engine's pending order.
     bool is_pending(const sent_order& sent) const;
     /// @return Whether the order was sent again.
-    bool repeat(const sent_order& sent, command_end outcome);
-    void answered(const sent_order& sent, instant sent_at, command_end outcome);
-    void examine(const std::string& engine, std::chrono::milliseconds delay);
+    bool retry(const sent_order& sent, command_end outcome);
+    void
+    handle_answer(const sent_order& sent, instant sent_at, command_end outcome);
+    void schedule_report_read(
+        const std::string& engine, std::chrono::milliseconds delay);
     void read_report(const std::string& engine);
-    void report_read(
+    void handle_report(
         const std::string& engine,
         const std::optional<holdings_report>& report);
     /// Marks an engine as unreachable. Its models are loaded on other engines.
-    void lost(const std::string& engine);
+    void handle_unreachable(const std::string& engine);
     /// Handles that another run answers at an engine's address.
-    void run_is_over(const std::string& engine);
+    void handle_replaced(const std::string& engine);
     /// Checks an engine that counts as reachable, but that a router couldn't
     /// reach.
-    void look_at(const std::string& engine);
-    void arm_step();
-    void arm_step_in(duration wait);
-    void take_up();
-    void list_servers();
-    void give_up(std::string_view reason);
+    void check_reachability(const std::string& engine);
+    void schedule_step();
+    void schedule_step_after(duration wait);
+    void start_ownership();
+    void sync_engines();
+    void end_ownership(std::string_view reason);
 
     boost::asio::io_context& loop;
     options settings;
@@ -164,26 +166,27 @@
     event_sink& events;
     engine_command_port& commands;
     const serving_view& view;
-    engine_tracker book;
+    engine_tracker tracker;
     /// Rate limits in requests per second, by engine.
-    std::map<std::string, double, std::less<>> named_limits;
-    demand_tracker needs;
+    std::map<std::string, double, std::less<>> rate_limits;
+    demand_tracker demands;
     swap_planner planner;
-    residency_teller words;
+    residency_announcer announcer;
     std::optional<placement_tenure> tenure;
     /// A higher fencing number was announced since the last takeover.
-    bool another_owned = false;
-    /// Whether this router acts as the owner, also for a short time after its
-    /// term has expired.
-    bool at_work = false;
+    bool other_owner_seen = false;
+    /// Whether this router acts as the owner. Stays set when the term expires,
+    /// until the ownership is known to be lost.
+    bool active = false;
     /// How often the tracked state was discarded because ownership was acquired
     /// anew; tells reads of an earlier tenure from those of the present one.
-    std::uint64_t takeovers = 0;
+    std::uint64_t takeover_count = 0;
     std::uint64_t last_order = 0; ///< number of the latest order
     instant last_plan;
-    std::set<std::string> examining; ///< engines with a pending report read
-    std::set<std::string>
-        looking; ///< engines with a pending reachability check
+    /// Engines with a scheduled or pending read of their report.
+    std::set<std::string> pending_report_reads;
+    /// Engines with a pending check whether they are reachable.
+    std::set<std::string> pending_checks;
     boost::asio::steady_timer step_timer;
     bool stopped = false;
 };
--- a/src/app/gateway/quota_desk.cpp
+++ b/src/app/gateway/quota_controller.cpp
@@ -1,4 +1,4 @@
-#include "app/gateway/quota_desk.hpp"
+#include "app/gateway/quota_controller.hpp"
 
 #include <boost/asio/post.hpp>
 #include <xxhash.h>
@@ -15,25 +15,25 @@
 {
 
 /// Number of routers that may be the accountant; no other router is asked.
-constexpr std::size_t most_accountants = 8;
+constexpr std::size_t max_accountants = 8;
 
 /// Minimum capacity of an accountant's VM, relative to the largest one: an
 /// accountant gets the messages of all other routers and answers each at once.
-constexpr double strong_enough = 0.5;
+constexpr double min_relative_capacity = 0.5;
 
 /// Interval between log lines about refusals of an account.
-constexpr duration log_pause = std::chrono::seconds(1);
+constexpr duration log_interval = std::chrono::seconds(1);
 
 /// @return The rank of a router as accountant. It is the same on all routers,
 ///         and hashed so that the order differs from that of the names: a VM
 ///         that comes first by name doesn't get every single-router role.
-std::uint64_t weight_of(std::string_view name)
+std::uint64_t rank_of(std::string_view name)
 {
     constexpr std::uint64_t seed = 0x71756F7461;
     return XXH64(name.data(), name.size(), seed);
 }
 
-std::vector<std::string> accountants_among(std::span<const router_address> all)
+std::vector<std::string> select_accountants(std::span<const router_address> all)
 {
     double strongest = 0;
     for (const router_address& one : all)
@@ -41,20 +41,20 @@
     std::vector<std::string> names;
     for (const router_address& one : all)
     {
-        if (one.capacity >= strongest * strong_enough)
+        if (one.capacity >= strongest * min_relative_capacity)
             names.push_back(one.name);
     }
-    std::ranges::sort(names, std::ranges::greater(), weight_of);
-    names.resize(std::min(names.size(), most_accountants));
+    std::ranges::sort(names, std::ranges::greater(), rank_of);
+    names.resize(std::min(names.size(), max_accountants));
     return names;
 }
 
-std::int64_t whole(double amount)
+std::int64_t to_integer(double amount)
 {
     return static_cast<std::int64_t>(amount);
 }
 
-quota_client::options client_options(const quota_desk::options& settings)
+quota_client::options client_options(const quota_controller::options& settings)
 {
     quota_client::options made;
     made.router = settings.router;
@@ -66,14 +66,14 @@
 
 } // namespace
 
-quota_desk::quota_desk(
+quota_controller::quota_controller(
     asio::io_context& context,
-    options chosen,
+    options initial_settings,
     const clock_port& time,
     event_sink& sink,
     gateway_peer_port& others)
     : loop(context)
-    , settings(std::move(chosen))
+    , settings(std::move(initial_settings))
     , clock(time)
     , events(sink)
     , peers(others)
@@ -83,40 +83,40 @@
 {
 }
 
-void quota_desk::start()
+void quota_controller::start()
 {
-    this->logged = this->clock.now();
-    this->arm();
+    this->last_log = this->clock.now();
+    this->schedule_tick();
 }
 
-void quota_desk::stop()
+void quota_controller::stop()
 {
     this->stopped = true;
     this->timer.cancel();
 }
 
-void quota_desk::configured(const deployment& configuration)
+void quota_controller::deployment_changed(const deployment& configuration)
 {
-    this->of_organisations = limits_of(configuration, this->settings.bounds);
+    this->organisation_limits = limits_of(configuration, this->settings.bounds);
     this->limits_changed();
 }
 
-void quota_desk::servers_limited(std::span<const server_limit> all)
+void quota_controller::server_limits_changed(std::span<const server_limit> all)
 {
-    this->of_servers.clear();
+    this->backend_limits.clear();
     for (const server_limit& one : all)
-        this->of_servers[server_account(one.server)] =
+        this->backend_limits[server_account(one.server)] =
             limit_of_server(one.per_second);
     this->limits_changed();
 }
 
-void quota_desk::limits_changed()
+void quota_controller::limits_changed()
 {
-    counted_limits all = this->of_organisations;
-    all.insert(this->of_servers.begin(), this->of_servers.end());
-    this->is_limited = !all.empty();
+    counted_limits all = this->organisation_limits;
+    all.insert(this->backend_limits.begin(), this->backend_limits.end());
+    this->has_limits = !all.empty();
     std::erase_if(
-        this->told,
+        this->logged_totals,
         [&all](const auto& one)
         {
             return !all.contains(one.first);
@@ -126,28 +126,29 @@
     this->tick();
 }
 
-void quota_desk::routers_listed(std::span<const router_address> all)
+void quota_controller::routers_listed(std::span<const router_address> all)
 {
     this->addresses.clear();
     for (const router_address& one : all)
         this->addresses[one.name] = one.address;
     this->accountant.routers_known(all.size());
-    this->client.accountants_known(accountants_among(all), all.size());
+    this->client.accountants_known(select_accountants(all), all.size());
     this->tick();
 }
 
-void quota_desk::ask_heard(const quota_ask& ask, std::string_view from)
+void quota_controller::request_received(
+    const quota_ask& ask, std::string_view from)
 {
     this->peers.send(from, this->accountant.heard(ask, this->clock.now()));
 }
 
-void quota_desk::answer_heard(const quota_answer& answer)
+void quota_controller::answer_received(const quota_answer& answer)
 {
     this->client.heard(answer, this->clock.now());
     this->flush();
 }
 
-void quota_desk::draw(quota_request request, handler on_decision)
+void quota_controller::draw(quota_request request, handler on_decision)
 {
     asio::post(
         this->loop,
@@ -155,13 +156,14 @@
          request = std::move(request),
          on_decision = std::move(on_decision)]
         {
-            this->draw_now(request, on_decision);
+            this->process_draw(request, on_decision);
         });
 }
 
-void quota_desk::draw_now(const quota_request& request, handler on_decision)
+void quota_controller::process_draw(
+    const quota_request& request, handler on_decision)
 {
-    if (!this->is_limited)
+    if (!this->has_limits)
     {
         // The limit has been removed since the request arrived.
         on_decision({0, true, {}, {}});
@@ -172,11 +174,11 @@
         request.amount,
         request.longest_wait,
         this->clock.now());
-    this->waiting.emplace(id, std::move(on_decision));
+    this->pending_draws.emplace(id, std::move(on_decision));
     this->flush();
 }
 
-void quota_desk::give_back(std::string organisation, double amount)
+void quota_controller::give_back(std::string organisation, double amount)
 {
     asio::post(
         this->loop,
@@ -186,7 +188,7 @@
         });
 }
 
-void quota_desk::flush()
+void quota_controller::flush()
 {
     for (auto messages = this->client.take_messages(); !messages.empty();
          messages = this->client.take_messages())
@@ -195,11 +197,11 @@
             this->send(message);
     }
     for (const quota_decision& decision : this->client.take_decisions())
-        this->tell(decision);
-    this->arm();
+        this->deliver(decision);
+    this->schedule_tick();
 }
 
-void quota_desk::send(const quota_message& message)
+void quota_controller::send(const quota_message& message)
 {
     if (message.to == this->settings.router)
     {
@@ -212,22 +214,22 @@
         this->peers.send(address->second, message.ask);
 }
 
-void quota_desk::tell(const quota_decision& decision)
+void quota_controller::deliver(const quota_decision& decision)
 {
-    const auto found = this->waiting.find(decision.id);
-    if (found == this->waiting.end())
+    const auto found = this->pending_draws.find(decision.id);
+    if (found == this->pending_draws.end())
         return;
     const handler on_decision = std::move(found->second);
-    this->waiting.erase(found);
+    this->pending_draws.erase(found);
     on_decision(decision);
 }
 
-bool quota_desk::has_work() const
+bool quota_controller::has_work() const
 {
-    return this->is_limited || !this->waiting.empty();
+    return this->has_limits || !this->pending_draws.empty();
 }
 
-void quota_desk::arm()
+void quota_controller::schedule_tick()
 {
     if (this->stopped || !this->has_work())
         return;
@@ -241,35 +243,36 @@
         });
 }
 
-void quota_desk::tick()
+void quota_controller::tick()
 {
     const instant now = this->clock.now();
     if (!this->has_work())
         return;
     this->accountant.tick(now);
     this->client.tick(now);
-    if (now - this->logged >= log_pause)
-        this->log_use();
+    if (now - this->last_log >= log_interval)
+        this->log_usage();
     this->flush();
 }
 
-void quota_desk::log_use()
+void quota_controller::log_usage()
 {
-    this->logged = this->clock.now();
-    if (this->asked != this->client.accountant())
+    this->last_log = this->clock.now();
+    if (this->logged_accountant != this->client.accountant())
     {
-        this->asked = this->client.accountant();
+        this->logged_accountant = this->client.accountant();
         this->events.report(
-            event_id::accountant_changed, {{"accountant", this->asked}});
+            event_id::accountant_changed,
+            {{"accountant", this->logged_accountant}});
     }
-    this->log_limits();
+    this->log_refused_accounts();
 }
 
-void quota_desk::log_limits()
+void quota_controller::log_refused_accounts()
 {
     for (const auto& [name, one] : this->accountant.accounts())
     {
-        tally& before = this->told[name];
+        account_totals& before = this->logged_totals[name];
         if (one.refused > before.refused)
             this->log_refusals(
                 name,
@@ -280,7 +283,7 @@
     }
 }
 
-void quota_desk::log_refusals(
+void quota_controller::log_refusals(
     std::string_view name,
     const quota_accountant::account& one,
     double used,
@@ -288,26 +291,27 @@
 {
     constexpr double percent = 100;
     constexpr double seconds_per_minute = 60;
-    const std::int64_t share = whole(this->accountant.share() * percent);
+    const std::int64_t share = to_integer(this->accountant.share() * percent);
     if (is_server_account(name))
     {
         this->events.report(
             event_id::server_limit_reached,
             {{"server", server_of_account(name)},
-             {"per_minute", whole(one.limit.per_second * seconds_per_minute)},
-             {"used", whole(used)},
-             {"refused", whole(refused)},
+             {"per_minute",
+              to_integer(one.limit.per_second * seconds_per_minute)},
+             {"used", to_integer(used)},
+             {"refused", to_integer(refused)},
              {"share_percent", share}});
         return;
     }
     this->events.report(
         event_id::limit_reached,
         {{"organisation", name},
-         {"per_second", whole(one.limit.per_second)},
-         {"burst", whole(one.limit.burst)},
-         {"used", whole(used)},
-         {"refused", whole(refused)},
-         {"left", whole(one.bucket.level())},
+         {"per_second", to_integer(one.limit.per_second)},
+         {"burst", to_integer(one.limit.burst)},
+         {"used", to_integer(used)},
+         {"refused", to_integer(refused)},
+         {"left", to_integer(one.bucket.level())},
          {"share_percent", share}});
 }
 
--- a/src/app/gateway/quota_desk.hpp
+++ b/src/app/gateway/quota_controller.hpp
@@ -27,14 +27,14 @@
 /** Enforces the limits of organisations, and the rate limits that backend
     servers name, across all routers.
 
-    One router is the accountant, which counts for all. This class asks it for
-    quota for this router's requests, and acts as the accountant for routers
-    that ask this one.
+    Quota is granted by a router that acts as the accountant of all. This class
+    asks the accountant on behalf of this router's requests, and is itself the
+    accountant for the routers that ask it.
 
     Used on the control thread only, except for the functions of the port. Has
     to outlive the last run of its io_context.
 */
-class quota_desk final : public quota_port
+class quota_controller final : public quota_port
 {
 public:
     struct options
@@ -45,7 +45,7 @@
         std::uint64_t seed = 1;
     };
 
-    quota_desk(
+    quota_controller(
         boost::asio::io_context& loop,
         options settings,
         const clock_port& clock,
@@ -55,33 +55,33 @@
     void start();
     void stop();
 
-    void configured(const deployment& configuration);
+    void deployment_changed(const deployment& configuration);
 
     /// @param all The rate limits that backend servers name, in full.
-    void servers_limited(std::span<const server_limit> all);
+    void server_limits_changed(std::span<const server_limit> all);
 
     void routers_listed(std::span<const router_address> all);
-    void ask_heard(const quota_ask& ask, std::string_view from);
-    void answer_heard(const quota_answer& answer);
+    void request_received(const quota_ask& ask, std::string_view from);
+    void answer_received(const quota_answer& answer);
 
     // quota_port
     void draw(quota_request request, handler on_decision) override;
     void give_back(std::string organisation, double amount) override;
 
 private:
-    void draw_now(const quota_request& request, handler on_decision);
+    void process_draw(const quota_request& request, handler on_decision);
     /// Sends messages, delivers decisions and sets the timer.
     void flush();
     void send(const quota_message& message);
-    void tell(const quota_decision& decision);
+    void deliver(const quota_decision& decision);
     void limits_changed();
     /// @return Whether any account has a limit, or a request still waits for a
     ///         decision on a limit that has been removed.
     bool has_work() const;
-    void arm();
+    void schedule_tick();
     void tick();
-    void log_use();
-    void log_limits();
+    void log_usage();
+    void log_refused_accounts();
     void log_refusals(
         std::string_view name,
         const quota_accountant::account& one,
@@ -89,7 +89,7 @@
         double refused);
 
     /// Totals of an account at the time of its latest log line.
-    struct tally
+    struct account_totals
     {
         double used = 0;
         double refused = 0;
@@ -103,14 +103,16 @@
     quota_accountant accountant;
     quota_client client;
     std::map<std::string, std::string, std::less<>> addresses; ///< by name
-    std::unordered_map<std::uint64_t, handler> waiting;        ///< by draw id
-    std::map<std::string, tally, std::less<>> told;            ///< by account
-    counted_limits of_organisations;
-    counted_limits of_servers;
+    std::unordered_map<std::uint64_t, handler> pending_draws;  ///< by draw id
+    /// Totals at the latest log line, by account.
+    std::map<std::string, account_totals, std::less<>> logged_totals;
+    counted_limits organisation_limits;
+    counted_limits backend_limits;
     boost::asio::steady_timer timer;
-    std::string asked;       ///< name of the accountant in the latest log line
-    instant logged;          ///< time of the latest log line
-    bool is_limited = false; ///< whether any account has a limit
+    /// Name of the accountant in the latest log line.
+    std::string logged_accountant;
+    instant last_log;        ///< time of the latest log line
+    bool has_limits = false; ///< whether any account has a limit
     bool stopped = false;
 };
 
--- a/src/app/gateway/residency_teller.hpp
+++ b/src/app/gateway/residency_announcer.hpp
@@ -34,18 +34,18 @@
     Used on the control thread only. Has to outlive the last run of its
     io_context.
 */
-class residency_teller
+class residency_announcer
 {
 public:
     struct options
     {
         /// Interval between beacons. A beacon goes to all routers; it shows
         /// that there is an owner, and which models some engines hold.
-        std::chrono::milliseconds beacon{250};
+        std::chrono::milliseconds beacon_interval{250};
         /// Maximum number of engines in a beacon.
-        std::size_t beacon_engines = 12;
+        std::size_t max_beacon_engines = 12;
         /// Changes within this time are announced together.
-        std::chrono::milliseconds pause{1};
+        std::chrono::milliseconds batch_delay{1};
         /// Byte budget for announcements to routers that don't wait for them:
         /// in total on the owner's link, in bytes per second.
         ///
@@ -54,14 +54,14 @@
         /// model. They learn of an unload from the engine, at the cost of a
         /// refused request each: a fifth of all arrivals with 71 routers, 90
         /// engines and 0.8 KB/s per router.
-        double spare_bytes_per_second = 1'000'000;
+        double budget_bytes_per_second = 1'000'000;
         /// The same budget per receiving router, in bytes per second.
-        double spare_bytes_per_router = 8'500;
+        double budget_bytes_per_router = 8'500;
         /// Encoded size of one engine's state, with names of usual length.
-        std::size_t engine_bytes = 150;
+        std::size_t encoded_engine_bytes = 150;
         /// Maximum number of load forecasts in an announcement; the first ones
         /// are sent.
-        std::size_t most_outlooks = 24;
+        std::size_t max_forecasts = 24;
     };
 
     /// Sends an announcement to routers, which may include this one.
@@ -70,7 +70,7 @@
     /// @return The names of all routers, including this one.
     using router_lister = std::function<std::vector<std::string>()>;
 
-    residency_teller(
+    residency_announcer(
         boost::asio::io_context& loop,
         options settings,
         std::string own_name,
@@ -86,7 +86,7 @@
     /// Sets the fencing number under which this router owns placement; empty if
     /// it doesn't. A new owner is announced at once, so that no other router
     /// applies for ownership.
-    void owned_under(std::optional<std::uint64_t> fence);
+    void set_fence(std::optional<std::uint64_t> fence);
 
     /// The term has expired without a renewal. This is announced at once, so
     /// that another router applies for ownership. The effects of earlier orders
@@ -95,25 +95,26 @@
 
     /// Sets the forecasts of when models that no engine holds will be ready. A
     /// new model among them is announced at once.
-    void foreseen(std::span<const load_forecast> outlooks);
+    void set_forecasts(std::span<const load_forecast> forecasts);
 
     /// The models or adapters that an engine holds have changed.
     /// @param servable Key of the changed model or adapter; empty for all.
-    void changed(const std::string& engine, std::string_view servable);
+    void engine_changed(const std::string& engine, std::string_view servable);
 
     /// A router needs the state of an engine.
-    void needed_by(const std::string& router, const std::string& engine);
+    void announce_to(const std::string& router, const std::string& engine);
 
 private:
-    void add(const std::string& engine, std::span<const std::string> audience);
+    void
+    enqueue(const std::string& engine, std::span<const std::string> recipients);
     /// Takes the bytes for announcing one engine to the given number of routers
     /// out of the budget.
     /// @return Whether the budget was sufficient.
-    bool spare(std::size_t router_count);
-    owner_announcement make_word() const;
-    void tell_changes();
-    void arm_beacon();
-    void tell_some();
+    bool take_budget(std::size_t router_count);
+    owner_announcement make_announcement() const;
+    void announce_changes();
+    void schedule_beacon();
+    void send_beacon();
 
     options settings;
     std::string name;
@@ -124,15 +125,15 @@
     sender send;
     std::optional<std::uint64_t> fence; ///< empty if this isn't the owner
     /// Engines whose changes are to be announced, by router.
-    std::map<std::string, std::set<std::string>> to_tell;
-    double spare_bytes = 0;
-    instant spare_counted;
-    std::vector<load_forecast> outlooks;
-    std::string last_told; ///< last engine in the latest beacon
-    boost::asio::steady_timer pause_timer;
+    std::map<std::string, std::set<std::string>> pending_changes;
+    double budget_bytes = 0;
+    instant budget_updated;
+    std::vector<load_forecast> forecasts;
+    std::string last_beacon_engine; ///< last engine in the latest beacon
+    boost::asio::steady_timer batch_timer;
     boost::asio::steady_timer beacon_timer;
-    bool waiting = false; ///< whether `pause_timer` is running
-    bool lapsed = false;  ///< whether the term has expired without a renewal
+    bool batch_scheduled = false; ///< whether `batch_timer` is running
+    bool expired = false; ///< whether the term has expired without a renewal
     bool stopped = false;
 };
 
--- a/src/app/gateway/pace_desk.hpp
+++ b/src/app/gateway/server_limit_controller.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/edge/shared_dispatcher.hpp"
-#include "app/gateway/quota_desk.hpp"
+#include "app/gateway/quota_controller.hpp"
 #include "core/pacing/server_limits.hpp"
 #include "core/serving/serving_view.hpp"
 #include "ports/clock.hpp"
@@ -32,53 +32,55 @@
     Used on the control thread only, except for `answered` and `permit_needed`.
     Has to outlive the last run of its io_context.
 */
-class pace_desk
+class server_limit_controller
 {
 public:
     struct options
     {
         std::string router; ///< name of this router
         /// An unused permit is returned to the shared account after this time.
-        std::chrono::milliseconds permit_life{500};
+        std::chrono::milliseconds permit_lifetime{500};
         /// Maximum wait for a permit if the request has no alternative server;
         /// otherwise it doesn't wait.
-        std::chrono::milliseconds patience{1000};
+        std::chrono::milliseconds max_permit_wait{1000};
         /// Maximum delay before a refused permit is requested again, since the
         /// limit may have ended by then.
-        std::chrono::milliseconds longest_retry{1000};
+        std::chrono::milliseconds max_retry_delay{1000};
     };
 
-    struct notices
+    struct callbacks
     {
         /// Sends limits to all other routers.
-        std::function<void(const server_limit_word&)> on_word;
+        std::function<void(const server_limit_word&)> on_limits_to_send;
         /// Receives the limits in force, in requests per second, by server id.
         std::function<void(std::map<std::string, double, std::less<>>)>
-            on_limits;
+            on_limits_changed;
     };
 
-    pace_desk(
+    server_limit_controller(
         boost::asio::io_context& loop,
         options settings,
         const clock_port& clock,
         event_sink& events,
         const serving_view& view,
         edge::shared_dispatcher& dispatch,
-        quota_desk& quotas,
-        notices told);
+        quota_controller& quotas,
+        callbacks handlers);
 
     void stop();
 
     /// A server answered a request. Called from any thread.
-    /// @param named Rate limit that the answer names, in requests per second;
-    ///              empty if it names none.
+    /// @param named_limit Rate limit that the answer names, in requests per
+    ///                    second; empty if it names none.
     void answered(
-        const std::string& server, std::optional<double> named, instant sent);
+        const std::string& server,
+        std::optional<double> named_limit,
+        instant sent);
 
     /// The dispatcher needs a permit. Called from any thread.
     void permit_needed(const permit_wanted& wanted);
 
-    void word_heard(const server_limit_word& word);
+    void limits_received(const server_limit_word& message);
 
     /// Servers were added, removed or restarted.
     void servers_changed();
@@ -89,29 +91,33 @@
     {
         limited_server(boost::asio::io_context& loop, server_place at)
             : place(std::move(at))
-            , permit_end(loop)
+            , permit_expiry(loop)
         {
         }
 
         server_place place;
-        boost::asio::steady_timer permit_end; ///< expiry of the latest permit
+        /// Expires with the latest permit.
+        boost::asio::steady_timer permit_expiry;
     };
 
-    void answered_now(
-        const std::string& server, std::optional<double> named, instant sent);
+    void process_answer(
+        const std::string& server,
+        std::optional<double> named_limit,
+        instant sent);
     void draw_permit(const permit_wanted& wanted);
-    void decided(const std::string& server, const quota_decision& decision);
-    void take_permit_back(const std::string& server);
+    void
+    handle_decision(const std::string& server, const quota_decision& decision);
+    void withdraw_permit(const std::string& server);
     void flush();
     void limits_changed();
     /// @return The identity under which grants refer to the server.
     server_place place_of(const serving_view::server& one) const;
-    void keep(const server_limit& limit);
-    void drop(const std::string& server);
-    void forget_restarted();
-    void drop_moved();
-    void log(const server_limit& changed);
-    void arm();
+    void apply_limit(const server_limit& limit);
+    void remove_limit(const std::string& server);
+    void remove_restarted();
+    void remove_moved();
+    void log_change(const server_limit& changed);
+    void schedule_tick();
 
     boost::asio::io_context& loop;
     options settings;
@@ -119,15 +125,16 @@
     event_sink& events;
     const serving_view& view;
     edge::shared_dispatcher& dispatch;
-    quota_desk& quotas;
-    notices tell;
+    quota_controller& quotas;
+    callbacks notify;
     server_limits limits;
-    std::map<std::string, limited_server, std::less<>> limited; ///< by id
+    /// Servers that have a limit, by id.
+    std::map<std::string, limited_server, std::less<>> limited_servers;
     /// Start times of servers with known limits, by id. A limit ends when the
     /// server restarts, but not when its entry is missing for a while.
-    std::map<std::string, std::int64_t, std::less<>> born_ms;
+    std::map<std::string, std::int64_t, std::less<>> start_times_ms;
     boost::asio::steady_timer timer;
-    std::atomic<bool> is_any_limited{false};
+    std::atomic<bool> has_limits{false};
     bool stopped = false;
 };
 
--- a/src/app/gateway/serving_desk.hpp
+++ b/src/app/gateway/serving_table_publisher.hpp
@@ -24,7 +24,7 @@
     Used on the control thread only. Has to outlive the last run of its
     io_context.
 */
-class serving_desk
+class serving_table_publisher
 {
 public:
     struct options
@@ -32,14 +32,14 @@
         serving_view::options view;
         /// Delay between a change and the new table; changes within it are
         /// published together.
-        std::chrono::milliseconds publish_pause{2};
+        std::chrono::milliseconds publish_delay{2};
         /// Additional delay per known server, since the cost of building a
         /// table grows with the number of servers.
-        std::chrono::microseconds publish_pause_per_server{20};
-        std::chrono::milliseconds tick{100};
+        std::chrono::microseconds publish_delay_per_server{20};
+        std::chrono::milliseconds tick_interval{100};
     };
 
-    struct notices
+    struct callbacks
     {
         /// A newer configuration is in force.
         std::function<void(std::shared_ptr<const deployment>)> on_deployment;
@@ -47,14 +47,14 @@
         std::function<void()> on_change;
     };
 
-    serving_desk(
+    serving_table_publisher(
         boost::asio::io_context& loop,
         options settings,
         const clock_port& clock,
         event_sink& events,
         newest_table<serving_table_ptr>& tables,
         edge::shared_dispatcher& dispatch,
-        notices told);
+        callbacks handlers);
 
     void start();
     void stop();
@@ -64,32 +64,32 @@
     void servers_listed(std::vector<server_entry> all);
     void server_read(server_entry entry);
     void server_removed(std::string_view id);
-    void store_back();
+    void store_recovered();
 
     /// The placement owner announced which models an engine holds.
-    void residency_heard(engine_residency residency);
+    void residency_announced(engine_residency residency);
 
     /// The placement owner announced when a model that no engine holds is
     /// expected to be ready.
-    void outlook_heard(const std::string& model, instant ready);
+    void forecast_announced(const std::string& model, instant ready);
 
     /// An engine refused a request because it doesn't hold the model or
     /// adapter.
-    void contradicted(std::string_view engine, std::string_view servable);
+    void servable_refused(std::string_view engine, std::string_view servable);
 
     /// No connection to a server could be opened.
     /// @return Whether it is an engine that was considered reachable.
-    bool unreached(std::string_view server);
+    bool server_unreachable(std::string_view server);
 
     /// Sets whether models that no engine holds can be loaded.
-    void orders_possible(bool possible);
+    void set_loading_possible(bool possible);
 
     /// Sets the requests that are blocked because they crashed several servers.
-    void blocked_changed(std::unordered_set<fingerprint> requests);
+    void set_blocked_requests(std::unordered_set<fingerprint> requests);
 
     const serving_view& view() const
     {
-        return this->known;
+        return this->deployment_view;
     }
 
     /// @return Whether requests can be routed. Called from any thread.
@@ -99,12 +99,13 @@
     }
 
 private:
-    void changed();
+    void schedule_publish();
     void publish();
-    duration publish_pause() const;
-    void arm_tick();
-    void tell_server(const server_entry& entry);
-    void tell_organisations(const deployment* before, const deployment& now);
+    duration publish_delay() const;
+    void schedule_tick();
+    void log_server(const server_entry& entry);
+    void
+    log_organisation_changes(const deployment* before, const deployment& now);
 
     boost::asio::io_context& loop;
     options settings;
@@ -112,14 +113,14 @@
     event_sink& events;
     newest_table<serving_table_ptr>& tables;
     edge::shared_dispatcher& dispatch;
-    notices tell;
-    serving_view known;
+    callbacks notify;
+    serving_view deployment_view;
     boost::asio::steady_timer publish_timer;
     boost::asio::steady_timer tick_timer;
-    std::unordered_set<fingerprint> blocked;
-    bool can_order = false;
-    bool publishing = false;
-    bool listed = false;
+    std::unordered_set<fingerprint> blocked_requests;
+    bool can_load = false;
+    bool publish_scheduled = false;
+    bool registry_read = false;
     bool stopped = false;
     std::atomic<bool> is_ready{false};
 };
--- a/src/app/gateway/usage_meter.hpp
+++ b/src/app/gateway/usage_counter.hpp
@@ -14,7 +14,7 @@
 
 /// Counts the running requests of each servable on each engine. The traffic
 /// thread updates the counts, and the control thread reads them. Thread-safe.
-class usage_meter
+class usage_counter
 {
 public:
     void started(const std::string& servable, const std::string& engine)
--- a/tests/unit/gateway/desk_fixture.hpp
+++ b/tests/unit/gateway/placement_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/events/null_event_sink.hpp"
-#include "app/gateway/placement_desk.hpp"
+#include "app/gateway/placement_controller.hpp"
 #include "core/serving/servable_key.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -77,13 +77,14 @@
 
 /// A placement controller with the engines `e1`, `e2`, ... of a service `llm`.
 /// Each engine has the models `m0` to `m3` on its disk.
-class desk_fixture
+class placement_fixture
 {
 public:
-    explicit desk_fixture(
+    explicit placement_fixture(
         std::size_t engines = 2,
-        placement_desk::options settings = placement_desk::options())
-        : desk(
+        placement_controller::options settings =
+            placement_controller::options())
+        : controller(
               loop,
               settings,
               "r1",
@@ -105,31 +106,33 @@
         this->view.deployment_read(make_deployment());
         for (std::size_t i = 1; i <= engines; ++i)
             this->view.entry_read(make_entry("e" + std::to_string(i)));
-        this->desk.configured(this->view.config());
+        this->controller.deployment_changed(this->view.config());
     }
 
     /// Makes this router the owner, and answers the first report read of each
     /// engine.
-    void own(std::uint64_t fence, std::vector<std::string> held = {})
+    void acquire_ownership(
+        std::uint64_t fence, std::vector<std::string> held_models = {})
     {
-        this->desk.tenure_changed(
+        this->controller.tenure_changed(
             placement_tenure{fence, this->clock.time + 1s});
-        this->answer_reports(std::move(held));
+        this->answer_reports(std::move(held_models));
     }
 
     /// Answers one report read per engine.
-    void answer_reports(const std::vector<std::string>& held)
+    void answer_reports(const std::vector<std::string>& held_models)
     {
         for (std::size_t i = this->view.servers().size(); i > 0; --i)
-            this->answer_report(held);
+            this->answer_report(held_models);
     }
 
     void answer_report(
-        const std::vector<std::string>& held, std::uint64_t orders_taken = 0)
+        const std::vector<std::string>& held_models,
+        std::uint64_t orders_taken = 0)
     {
         holdings_report report;
         report.orders_taken = orders_taken;
-        for (const std::string& model : held)
+        for (const std::string& model : held_models)
             report.holdings.resident.push_back({model, {}});
         report.holdings.on_disk = {"m0", "m1", "m2", "m3"};
         this->next_report().done(report);
@@ -144,17 +147,17 @@
     /// Reports that requests wait for a model on this router.
     void report_demand(const std::string& model)
     {
-        router_report report = this->make_report();
-        report.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
-        this->desk.word_heard(report);
+        router_report message = this->make_router_report();
+        message.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
+        this->controller.router_report_received(message);
     }
 
     /// Reports that this router couldn't reach an engine.
     void report_unreachable(const std::string& engine)
     {
-        router_report report = this->make_report();
-        report.unreachable_engines = {engine};
-        this->desk.word_heard(report);
+        router_report message = this->make_router_report();
+        message.unreachable_engines = {engine};
+        this->controller.router_report_received(message);
     }
 
     /// Runs the event loop until an order is sent.
@@ -204,7 +207,7 @@
     serving_view view{serving_view::options()};
     boost::asio::io_context loop;
     std::vector<owner_announcement> announcements;
-    placement_desk desk;
+    placement_controller controller;
 
 private:
     void run_until(const std::function<bool()>& reached)
@@ -217,12 +220,12 @@
         }
     }
 
-    router_report make_report()
+    router_report make_router_report()
     {
-        router_report report;
-        report.router = "r1";
-        report.sequence = ++this->sequence;
-        return report;
+        router_report message;
+        message.router = "r1";
+        message.sequence = ++this->sequence;
+        return message;
     }
 
     static std::shared_ptr<const deployment> make_deployment()
--- a/tests/unit/gateway/test_quota_desk.cpp
+++ b/tests/unit/gateway/test_quota_controller.cpp
@@ -1,6 +1,6 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
-#include "app/gateway/quota_desk.hpp"
+#include "app/gateway/quota_controller.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -42,17 +42,17 @@
     {
         ++this->asks;
         if (address == "strong:1" && this->strong != nullptr)
-            this->strong->ask_heard(ask, "weak:1");
+            this->strong->request_received(ask, "weak:1");
     }
 
     void send(std::string_view address, const quota_answer& answer) override
     {
         if (address == "weak:1" && this->weak != nullptr)
-            this->weak->answer_heard(answer);
+            this->weak->answer_received(answer);
     }
 
-    quota_desk* strong = nullptr;
-    quota_desk* weak = nullptr;
+    quota_controller* strong = nullptr;
+    quota_controller* weak = nullptr;
     int asks = 0;
 };
 
@@ -88,17 +88,17 @@
         this->peers.weak = &this->weak;
         const router_address all[] = {
             {"strong", "strong:1", 2}, {"weak", "weak:1", 0.5}};
-        for (quota_desk* desk : {&this->strong, &this->weak})
+        for (quota_controller* controller : {&this->strong, &this->weak})
         {
-            desk->start();
-            desk->routers_listed(all);
+            controller->start();
+            controller->routers_listed(all);
         }
     }
 
     void configure(double per_second)
     {
-        this->strong.configured(make_deployment(per_second));
-        this->weak.configured(make_deployment(per_second));
+        this->strong.deployment_changed(make_deployment(per_second));
+        this->weak.deployment_changed(make_deployment(per_second));
     }
 
     /// Draws quota until a draw is allowed or refused, as given.
@@ -127,13 +127,13 @@
     platform::system_clock clock;
     events::null_event_sink events;
     direct_peers peers;
-    quota_desk strong;
-    quota_desk weak;
+    quota_controller strong;
+    quota_controller weak;
 };
 
 } // namespace
 
-Test(quota_desk, the_router_of_low_capacity_asks_the_other_one)
+Test(quota_controller, the_router_of_low_capacity_asks_the_other_one)
 {
     two_routers test;
     test.configure(1e6);
@@ -141,7 +141,7 @@
     cr_assert_gt(test.peers.asks, 0);
 }
 
-Test(quota_desk, refuses_draws_over_the_limit)
+Test(quota_controller, refuses_draws_over_the_limit)
 {
     two_routers test;
     test.configure(1e3);
@@ -149,7 +149,7 @@
     cr_assert(test.draws_until(false));
 }
 
-Test(quota_desk, sends_nothing_while_there_is_no_limit)
+Test(quota_controller, sends_nothing_while_there_is_no_limit)
 {
     two_routers test;
     test.configure(0);
@@ -158,7 +158,7 @@
     cr_assert_eq(test.peers.asks, 0);
 }
 
-Test(quota_desk, a_waiting_request_is_allowed_when_its_limit_is_removed)
+Test(quota_controller, a_waiting_request_is_allowed_when_its_limit_is_removed)
 {
     two_routers test;
     test.configure(1e6);
--- a/tests/unit/gateway/test_pace_desk.cpp
+++ b/tests/unit/gateway/test_server_limit_controller.cpp
@@ -1,6 +1,6 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
-#include "app/gateway/pace_desk.hpp"
+#include "app/gateway/server_limit_controller.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -67,10 +67,10 @@
               this->clock,
               {[](const demand&) {},
                [](const crash_seen&) {},
-               [this](const permit_wanted& what)
+               [this](const permit_wanted& wanted)
                {
                    ++this->permit_requests;
-                   this->desk.permit_needed(what);
+                   this->controller.permit_needed(wanted);
                }}))
         , quotas(
               this->loop,
@@ -78,7 +78,7 @@
               this->clock,
               this->events,
               this->peers)
-        , desk(
+        , controller(
               this->loop,
               {.router = "r"},
               this->clock,
@@ -86,9 +86,9 @@
               this->view,
               *this->dispatch,
               this->quotas,
-              {[this](const server_limit_word& limits)
+              {[this](const server_limit_word& message)
                {
-                   this->sent_limits.push_back(limits);
+                   this->sent_limits.push_back(message);
                },
                [this](std::map<std::string, double, std::less<>> named)
                {
@@ -108,7 +108,7 @@
 
     ~one_server()
     {
-        this->desk.stop();
+        this->controller.stop();
         this->quotas.stop();
         this->dispatch->stop();
     }
@@ -117,12 +117,12 @@
     {
         this->dispatch->table_changed(
             this->view.make_table(true, {}, this->clock.now()));
-        this->desk.servers_changed();
+        this->controller.servers_changed();
     }
 
     void answer(std::optional<double> named)
     {
-        this->desk.answered("i-1", named, this->clock.now());
+        this->controller.answered("i-1", named, this->clock.now());
         this->run_ready_handlers();
     }
 
@@ -168,13 +168,13 @@
     std::map<std::string, double, std::less<>> rates;
     int permit_requests = 0;
     std::shared_ptr<edge::shared_dispatcher> dispatch;
-    quota_desk quotas;
-    pace_desk desk;
+    quota_controller quotas;
+    server_limit_controller controller;
 };
 
 } // namespace
 
-Test(pace_desk, sends_a_limit_named_by_an_answer_to_all_routers)
+Test(server_limit_controller, sends_a_limit_named_by_an_answer_to_all_routers)
 {
     one_server test;
     test.answer(2.0);
@@ -183,7 +183,9 @@
     cr_assert_eq(test.rates.at("i-1"), 2.0);
 }
 
-Test(pace_desk, a_request_to_a_limited_server_is_sent_under_a_permit)
+Test(
+    server_limit_controller,
+    a_request_to_a_limited_server_is_sent_under_a_permit)
 {
     one_server test;
     test.answer(50.0);
@@ -198,7 +200,7 @@
     cr_assert_geq(test.permit_requests, 1);
 }
 
-Test(pace_desk, an_answer_without_a_limit_ends_the_limit)
+Test(server_limit_controller, an_answer_without_a_limit_ends_the_limit)
 {
     one_server test;
     test.answer(0.01);
@@ -209,7 +211,7 @@
     cr_assert(**sent);
 }
 
-Test(pace_desk, a_restarted_server_has_no_limit)
+Test(server_limit_controller, a_restarted_server_has_no_limit)
 {
     one_server test;
     test.answer(0.01);
@@ -221,7 +223,9 @@
 }
 
 /// Entries can be missing for a while after an outage of the registry.
-Test(pace_desk, a_limit_survives_the_temporary_loss_of_the_registry_entry)
+Test(
+    server_limit_controller,
+    a_limit_survives_the_temporary_loss_of_the_registry_entry)
 {
     one_server test;
     test.answer(0.01);
@@ -233,12 +237,14 @@
     cr_assert_not(sent->has_value() && **sent);
 }
 
-Test(pace_desk, a_limit_received_before_the_registry_entry_applies_later)
+Test(
+    server_limit_controller,
+    a_limit_received_before_the_registry_entry_applies_later)
 {
     one_server test;
     test.view.entry_removed("i-1", test.clock.now());
     test.publish();
-    test.desk.word_heard({"other", {{"i-1", 0.01, 0}}});
+    test.controller.limits_received({"other", {{"i-1", 0.01, 0}}});
     test.view.entry_read(make_entry());
     test.publish();
     const auto sent = test.submit(20s);
