--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -218,7 +218,7 @@
         return;
     if (this->owner->address.empty())
     {
-        this->placement->router_report_received(message);
+        this->placement->handle_router_report(message);
         return;
     }
     const std::string addresses[] = {this->owner->address};
@@ -284,7 +284,7 @@
 
 void gateway_control::router_word_heard(const router_report& message)
 {
-    this->placement->router_report_received(message);
+    this->placement->handle_router_report(message);
 }
 
 void gateway_control::owner_word_heard(
@@ -331,14 +331,14 @@
 }
 
 void gateway_control::quota_ask_heard(
-    const quota_ask& ask, std::string_view from)
+    const quota_ask& query, std::string_view from)
 {
-    this->quotas->request_received(ask, from);
+    this->quotas->query_received(query, from);
 }
 
-void gateway_control::quota_answer_heard(const quota_answer& answer)
+void gateway_control::quota_answer_heard(const quota_answer& reply)
 {
-    this->quotas->answer_received(answer);
+    this->quotas->reply_received(reply);
 }
 
 void gateway_control::server_limit_word_heard(const server_limit_word& message)
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -163,8 +163,9 @@
         const owner_announcement& message, std::string_view from) override;
     void break_word_heard(const connection_loss_report& message) override;
     void directory_word_heard(const directory_word& message) override;
-    void quota_ask_heard(const quota_ask& ask, std::string_view from) override;
-    void quota_answer_heard(const quota_answer& answer) override;
+    void
+    quota_ask_heard(const quota_ask& query, std::string_view from) override;
+    void quota_answer_heard(const quota_answer& reply) override;
     void server_limit_word_heard(const server_limit_word& message) override;
 
     void run();
--- a/src/app/gateway/placement_controller.cpp
+++ b/src/app/gateway/placement_controller.cpp
@@ -32,9 +32,9 @@
     return action == engine_action::load ? "load" : "unload";
 }
 
-std::string_view to_string(command_end end)
+std::string_view to_string(command_end outcome)
 {
-    switch (end)
+    switch (outcome)
     {
     case command_end::accepted:
         return "accepted";
@@ -195,7 +195,7 @@
     if (owned && (!held || (is_new && expired)))
         this->end_ownership(
             held ? "the term has expired"
-                 : "the tenure was lost or could not be renewed");
+                 : "this router no longer holds the tenure");
     this->tenure = held;
     if (is_new)
         this->start_ownership();
@@ -245,7 +245,7 @@
     this->tenure.reset();
 }
 
-void placement_controller::router_report_received(const router_report& message)
+void placement_controller::handle_router_report(const router_report& message)
 {
     if (!this->demands.apply_router_report(message, this->clock.now()) ||
         !this->active)
--- a/src/app/gateway/placement_controller.hpp
+++ b/src/app/gateway/placement_controller.hpp
@@ -104,7 +104,7 @@
     /// placement by now.
     void term_ended();
 
-    void router_report_received(const router_report& message);
+    void handle_router_report(const router_report& message);
 
     /// Another router announced that it owns placement with this fencing
     /// number. A number higher than this router's ends its own tenure.
--- a/src/app/gateway/quota_controller.cpp
+++ b/src/app/gateway/quota_controller.cpp
@@ -136,15 +136,15 @@
     this->tick();
 }
 
-void quota_controller::request_received(
-    const quota_ask& ask, std::string_view from)
+void quota_controller::query_received(
+    const quota_ask& query, std::string_view from)
 {
-    this->peers.send(from, this->accountant.heard(ask, this->clock.now()));
+    this->peers.send(from, this->accountant.heard(query, this->clock.now()));
 }
 
-void quota_controller::answer_received(const quota_answer& answer)
+void quota_controller::reply_received(const quota_answer& reply)
 {
-    this->client.heard(answer, this->clock.now());
+    this->client.heard(reply, this->clock.now());
     this->flush();
 }
 
--- a/src/app/gateway/quota_controller.hpp
+++ b/src/app/gateway/quota_controller.hpp
@@ -61,8 +61,8 @@
     void server_limits_changed(std::span<const server_limit> all);
 
     void routers_listed(std::span<const router_address> all);
-    void request_received(const quota_ask& ask, std::string_view from);
-    void answer_received(const quota_answer& answer);
+    void query_received(const quota_ask& query, std::string_view from);
+    void reply_received(const quota_answer& reply);
 
     // quota_port
     void draw(quota_request request, handler on_decision) override;
--- a/src/ports/directory_copy_port.hpp
+++ b/src/ports/directory_copy_port.hpp
@@ -21,7 +21,7 @@
     ///         several requests get the same object, it may be serialised once
     ///         for all of them.
     virtual std::shared_ptr<const directory_copy>
-    copy_for(const copy_ask& ask) = 0;
+    copy_for(const copy_ask& request) = 0;
 };
 
 /// Port: exchange of copies of the store's topics between gateways.
@@ -38,8 +38,8 @@
     /// Requests a copy from another router, without a retry.
     /// @param address ip:port that the router announced.
     /// @param done    Called exactly once; empty if no copy came in time.
-    virtual void
-    fetch(std::string_view address, const copy_ask& ask, copy_done done) = 0;
+    virtual void fetch(
+        std::string_view address, const copy_ask& request, copy_done done) = 0;
 
     /// Stops answering requests. No completion is called after this.
     virtual void stop() = 0;
--- a/src/ports/directory_port.hpp
+++ b/src/ports/directory_port.hpp
@@ -64,8 +64,9 @@
     ///             its ownership.
     virtual void tenure_changed(std::optional<placement_tenure> held) = 0;
 
-    /// The store has confirmed that this router resigned: another router can
-    /// acquire ownership.
+    /// This router has lost ownership, or has resigned, though the store may
+    /// not have answered yet. The other routers have to be notified, so that
+    /// one of them acquires ownership.
     virtual void ownership_left() = 0;
 
     /// The term has expired without a renewal, and another router may own
@@ -73,7 +74,7 @@
     /// fencing number.
     virtual void term_ended() = 0;
 
-    /// The store has stopped answering.
+    /// Several calls in a row got no answer from the store.
     virtual void directory_lost() = 0;
 
     /// The store answers again.
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -30,8 +30,8 @@
 
     /// @param from UDP ip:port of the router.
     virtual void
-    quota_ask_heard(const quota_ask& ask, std::string_view from) = 0;
-    virtual void quota_answer_heard(const quota_answer& answer) = 0;
+    quota_ask_heard(const quota_ask& query, std::string_view from) = 0;
+    virtual void quota_answer_heard(const quota_answer& reply) = 0;
     virtual void server_limit_word_heard(const server_limit_word& limits) = 0;
 };
 
@@ -59,8 +59,8 @@
     virtual void send(
         std::span<const std::string> addresses,
         const server_limit_word& limits) = 0;
-    virtual void send(std::string_view address, const quota_ask& ask) = 0;
-    virtual void send(std::string_view address, const quota_answer& answer) = 0;
+    virtual void send(std::string_view address, const quota_ask& query) = 0;
+    virtual void send(std::string_view address, const quota_answer& reply) = 0;
 
     /// Stops receiving. The listener isn't called after this.
     virtual void stop() = 0;
--- a/tests/unit/gateway/placement_fixture.hpp
+++ b/tests/unit/gateway/placement_fixture.hpp
@@ -149,7 +149,7 @@
     {
         router_report message = this->make_router_report();
         message.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
-        this->controller.router_report_received(message);
+        this->controller.handle_router_report(message);
     }
 
     /// Reports that this router couldn't reach an engine.
@@ -157,7 +157,7 @@
     {
         router_report message = this->make_router_report();
         message.unreachable_engines = {engine};
-        this->controller.router_report_received(message);
+        this->controller.handle_router_report(message);
     }
 
     /// Runs the event loop until an order is sent.
--- a/tests/unit/gateway/test_quota_controller.cpp
+++ b/tests/unit/gateway/test_quota_controller.cpp
@@ -38,22 +38,22 @@
     }
     void stop() override {}
 
-    void send(std::string_view address, const quota_ask& ask) override
+    void send(std::string_view address, const quota_ask& query) override
     {
-        ++this->asks;
+        ++this->queries;
         if (address == "strong:1" && this->strong != nullptr)
-            this->strong->request_received(ask, "weak:1");
+            this->strong->query_received(query, "weak:1");
     }
 
-    void send(std::string_view address, const quota_answer& answer) override
+    void send(std::string_view address, const quota_answer& reply) override
     {
         if (address == "weak:1" && this->weak != nullptr)
-            this->weak->answer_received(answer);
+            this->weak->reply_received(reply);
     }
 
     quota_controller* strong = nullptr;
     quota_controller* weak = nullptr;
-    int asks = 0;
+    int queries = 0;
 };
 
 deployment make_deployment(double per_second)
@@ -138,7 +138,7 @@
     two_routers test;
     test.configure(1e6);
     cr_assert(test.draws_until(true));
-    cr_assert_gt(test.peers.asks, 0);
+    cr_assert_gt(test.peers.queries, 0);
 }
 
 Test(quota_controller, refuses_draws_over_the_limit)
@@ -155,7 +155,7 @@
     test.configure(0);
     for (int i = 0; i < 20; ++i)
         test.loop.run_one_for(5ms);
-    cr_assert_eq(test.peers.asks, 0);
+    cr_assert_eq(test.peers.queries, 0);
 }
 
 Test(quota_controller, a_waiting_request_is_allowed_when_its_limit_is_removed)
