--- a/bench/membership/bench_membership.cpp
+++ b/bench/membership/bench_membership.cpp
@@ -51,8 +51,8 @@
 class alive_counter : public peer_listener
 {
 public:
-    void demand_heard(const servable_demand& /*what*/) override {}
-    void visit_heard(const caller_visit& /*what*/) override {}
+    void demand_received(const servable_demand& /*what*/) override {}
+    void visit_received(const caller_visit& /*what*/) override {}
 
     void peers_alive(std::span<const session_id> sessions) override
     {
--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -150,7 +150,7 @@
     }
     this->inbox->finish();
     if (this->tokens_set_aside && !this->may_have_run)
-        this->context.ports.limits.give_back(
+        this->context.ports.limits.refund(
             this->organisation.name, this->organisation.cost);
     beast::error_code ignored;
     this->caller.stream.socket().cancel(ignored);
--- a/src/adapters/forward/quota_gate.cpp
+++ b/src/adapters/forward/quota_gate.cpp
@@ -57,7 +57,7 @@
                     open->decision = made;
                     open->timer.cancel();
                     if (open->is_abandoned && made.is_allowed)
-                        port.give_back(request.organisation, request.amount);
+                        port.refund(request.organisation, request.amount);
                 });
         });
     while (!open->decision && !inbox.interrupted())
@@ -74,7 +74,7 @@
         co_return open->decision;
     open->is_abandoned = true;
     if (open->decision && open->decision->is_allowed)
-        this->limits.give_back(request.organisation, request.amount);
+        this->limits.refund(request.organisation, request.amount);
     co_return std::nullopt;
 }
 
--- a/src/adapters/log/http_log_client.cpp
+++ b/src/adapters/log/http_log_client.cpp
@@ -108,7 +108,7 @@
     this->gather_timer.cancel();
 }
 
-void http_log_client::hurry()
+void http_log_client::expedite_reads()
 {
     this->hurry_until = std::chrono::steady_clock::now() + this->settings.hurry;
     this->gather_timer.cancel();
@@ -224,7 +224,7 @@
         std::max(this->known_end, offset_field(answer.body, "next_offset"));
     const log_offset first = offset_field(answer.body, "first_offset");
     if (first && first <= this->next_read)
-        this->listener->log_kept(first);
+        this->listener->oldest_offset_read(first);
 }
 
 asio::awaitable<void> http_log_client::append_all()
--- a/src/adapters/log/http_log_client.hpp
+++ b/src/adapters/log/http_log_client.hpp
@@ -59,7 +59,7 @@
 
     void start(log_listener& listener) override;
     void tail_from(log_offset from) override;
-    void hurry() override;
+    void expedite_reads() override;
     void append(append_batch batch) override;
     void stop() override;
 
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -112,31 +112,32 @@
     {
     case word_kind::router:
         if (router_report word; this->decode(body, word))
-            this->listener->router_word_heard(word);
+            this->listener->router_report_received(word);
         return;
     case word_kind::owner:
         if (owner_announcement word; this->decode(body, word))
-            this->listener->owner_word_heard(word, this->sender_text());
+            this->listener->owner_announcement_received(
+                word, this->sender_text());
         return;
     case word_kind::broken:
         if (connection_loss_report word; this->decode(body, word))
-            this->listener->break_word_heard(word);
+            this->listener->connection_loss_received(word);
         return;
     case word_kind::directory:
         if (directory_word word; this->decode(body, word))
-            this->listener->directory_word_heard(word);
+            this->listener->directory_update_received(word);
         return;
     case word_kind::quota_ask:
         if (quota_ask word; this->decode(body, word))
-            this->listener->quota_ask_heard(word, this->sender_text());
+            this->listener->quota_query_received(word, this->sender_text());
         return;
     case word_kind::quota_answer:
         if (quota_answer word; this->decode(body, word))
-            this->listener->quota_answer_heard(word);
+            this->listener->quota_reply_received(word);
         return;
     case word_kind::server_limits:
         if (server_limit_word word; this->decode(body, word))
-            this->listener->server_limit_word_heard(word);
+            this->listener->server_limit_update_received(word);
         return;
     }
     ++this->rejected_count;
--- a/src/adapters/peers/udp_peers.cpp
+++ b/src/adapters/peers/udp_peers.cpp
@@ -233,9 +233,9 @@
     if (this->listener == nullptr)
         return;
     for (const servable_demand& what : this->members.take_demands())
-        this->listener->demand_heard(what);
+        this->listener->demand_received(what);
     for (const caller_visit& what : this->members.take_visits())
-        this->listener->visit_heard(what);
+        this->listener->visit_received(what);
     if (this->members.take_changed())
         this->tell_listener();
 }
--- a/src/app/control_loop.cpp
+++ b/src/app/control_loop.cpp
@@ -97,7 +97,7 @@
     if (!this->core || this->stopped)
         return;
     // The caller waits for records of others: of the replica's load.
-    this->ports.log.hurry();
+    this->ports.log.expedite_reads();
     const session_id this_router;
     this->core->demanded(
         {what.servable, what.urgency, what.waiting, this_router},
--- a/src/app/control_loop.hpp
+++ b/src/app/control_loop.hpp
@@ -106,13 +106,13 @@
     // From the ports.
     void log_opened(log_offset first, log_offset next, bool trimmed) override;
     void entries_read(std::vector<log_entry> entries, log_offset next) override;
-    void log_kept(log_offset first) override;
+    void oldest_offset_read(log_offset first) override;
     void log_failed(log_fault fault) override;
     void append_answered(std::uint64_t batch, append_outcome outcome) override;
     void vms_listed(std::span<const vm_entry> vms) override;
     void vm_list_failed() override;
-    void demand_heard(const servable_demand& what) override;
-    void visit_heard(const caller_visit& what) override;
+    void demand_received(const servable_demand& what) override;
+    void visit_received(const caller_visit& what) override;
     void peers_alive(std::span<const session_id> alive) override;
 
     // What it knows, for `/state` and `/metrics`.
--- a/src/app/control_loop_log.cpp
+++ b/src/app/control_loop_log.cpp
@@ -138,7 +138,7 @@
     this->begin(std::move(found->state), found->whole.at);
 }
 
-void control_loop::log_kept(log_offset first)
+void control_loop::oldest_offset_read(log_offset first)
 {
     this->first_kept = first;
     if (this->core)
--- a/src/app/control_loop_ports.cpp
+++ b/src/app/control_loop_ports.cpp
@@ -57,16 +57,16 @@
         this->ports.events.report(event_id::vm_list_unreachable);
 }
 
-void control_loop::demand_heard(const servable_demand& what)
+void control_loop::demand_received(const servable_demand& what)
 {
     if (!this->core || this->stopped)
         return;
-    this->ports.log.hurry();
+    this->ports.log.expedite_reads();
     this->core->demanded(what, this->ports.clock.now());
     this->pump();
 }
 
-void control_loop::visit_heard(const caller_visit& what)
+void control_loop::visit_received(const caller_visit& what)
 {
     if (!this->core || this->stopped)
         return;
--- a/src/app/gateway/gateway_control.cpp
+++ b/src/app/gateway/gateway_control.cpp
@@ -234,7 +234,7 @@
         this->owner ? duration::zero() : now - this->owner_missing_since;
     this->serving->set_loading_possible(missing <= max_ownerless_period);
     if (missing >= initial_listen_period)
-        this->directory->owner_heard(false);
+        this->directory->set_owner_known(false);
 }
 
 void gateway_control::owner_lost(instant now)
@@ -242,7 +242,7 @@
     this->owner.reset();
     // The loss is certain, so the initial listening period is skipped.
     this->owner_missing_since = now - initial_listen_period;
-    this->directory->owner_heard(false);
+    this->directory->set_owner_known(false);
 }
 
 std::vector<std::string> gateway_control::router_names() const
@@ -282,16 +282,16 @@
     this->peers->send(addresses, message);
 }
 
-void gateway_control::router_word_heard(const router_report& message)
+void gateway_control::router_report_received(const router_report& message)
 {
     this->placement->handle_router_report(message);
 }
 
-void gateway_control::owner_word_heard(
+void gateway_control::owner_announcement_received(
     const owner_announcement& message, std::string_view from)
 {
     this->placement->other_owner_announced(message.tenure);
-    this->directory->another_owns(message.tenure);
+    this->directory->other_owner_detected(message.tenure);
     this->apply_announcement(message, from);
 }
 
@@ -309,7 +309,7 @@
         return;
     }
     this->owner = {message.owner, std::string(from), message.tenure, now};
-    this->directory->owner_heard(!message.term_expired);
+    this->directory->set_owner_known(!message.term_expired);
     this->live_routers = std::max<std::size_t>(message.routers, 1);
     for (const engine_residency& engine : message.engines)
         this->serving->residency_announced(engine);
@@ -320,28 +320,30 @@
         this->reporter.report_all();
 }
 
-void gateway_control::break_word_heard(const connection_loss_report& message)
+void gateway_control::connection_loss_received(
+    const connection_loss_report& message)
 {
     this->record_connection_loss(message);
 }
 
-void gateway_control::directory_word_heard(const directory_word& message)
+void gateway_control::directory_update_received(const directory_word& message)
 {
-    this->directory->word_heard(message);
+    this->directory->apply_peer_update(message);
 }
 
-void gateway_control::quota_ask_heard(
+void gateway_control::quota_query_received(
     const quota_ask& query, std::string_view from)
 {
     this->quotas->query_received(query, from);
 }
 
-void gateway_control::quota_answer_heard(const quota_answer& reply)
+void gateway_control::quota_reply_received(const quota_answer& reply)
 {
     this->quotas->reply_received(reply);
 }
 
-void gateway_control::server_limit_word_heard(const server_limit_word& message)
+void gateway_control::server_limit_update_received(
+    const server_limit_word& message)
 {
     this->limit_controller->limits_received(message);
 }
@@ -440,7 +442,7 @@
     this->serving->deployment_read(std::move(configuration));
 }
 
-void gateway_control::deployment_behind(bool stale)
+void gateway_control::deployment_staleness_changed(bool stale)
 {
     this->deployment_stale = stale;
 }
@@ -478,7 +480,7 @@
     this->placement->tenure_changed(held);
 }
 
-void gateway_control::ownership_left()
+void gateway_control::ownership_ended()
 {
     if (!this->owner || this->owner->name != this->settings.vm.name)
         return;
@@ -499,21 +501,21 @@
         this->placement->term_ended();
 }
 
-void gateway_control::directory_lost()
+void gateway_control::store_unreachable()
 {
     this->store_lost_at = this->clock.now();
     this->events.report(event_id::store_lost);
 }
 
-void gateway_control::directory_back()
+void gateway_control::store_reachable()
 {
     const auto away = std::chrono::duration_cast<std::chrono::milliseconds>(
         this->clock.now() - this->store_lost_at);
     this->events.report(event_id::store_back, {{"away_ms", away.count()}});
-    this->registry_back();
+    this->store_recovery_reported();
 }
 
-void gateway_control::registry_back()
+void gateway_control::store_recovery_reported()
 {
     this->serving->store_recovered();
 }
--- a/src/app/gateway/gateway_control.hpp
+++ b/src/app/gateway/gateway_control.hpp
@@ -144,29 +144,31 @@
     // directory_listener
     void
     deployment_read(std::shared_ptr<const deployment> configuration) override;
-    void deployment_behind(bool stale) override;
+    void deployment_staleness_changed(bool stale) override;
     void servers_listed(std::vector<server_entry> all) override;
     void server_read(server_entry entry) override;
     void server_removed(std::string_view id) override;
     void routers_listed(std::vector<router_address> all) override;
     void tenure_changed(std::optional<placement_tenure> held) override;
-    void ownership_left() override;
+    void ownership_ended() override;
     void term_ended() override;
-    void directory_lost() override;
-    void directory_back() override;
-    void registry_back() override;
+    void store_unreachable() override;
+    void store_reachable() override;
+    void store_recovery_reported() override;
     void store_read(const directory_word& message) override;
 
     // gateway_peer_listener
-    void router_word_heard(const router_report& message) override;
-    void owner_word_heard(
+    void router_report_received(const router_report& message) override;
+    void owner_announcement_received(
         const owner_announcement& message, std::string_view from) override;
-    void break_word_heard(const connection_loss_report& message) override;
-    void directory_word_heard(const directory_word& message) override;
     void
-    quota_ask_heard(const quota_ask& query, std::string_view from) override;
-    void quota_answer_heard(const quota_answer& reply) override;
-    void server_limit_word_heard(const server_limit_word& message) override;
+    connection_loss_received(const connection_loss_report& message) override;
+    void directory_update_received(const directory_word& message) override;
+    void quota_query_received(
+        const quota_ask& query, std::string_view from) override;
+    void quota_reply_received(const quota_answer& reply) override;
+    void
+    server_limit_update_received(const server_limit_word& message) override;
 
     void run();
     void apply_announcement(
--- a/src/app/gateway/placement_controller.cpp
+++ b/src/app/gateway/placement_controller.cpp
@@ -32,27 +32,27 @@
     return action == engine_action::load ? "load" : "unload";
 }
 
-std::string_view to_string(command_end outcome)
+std::string_view to_string(command_outcome outcome)
 {
     switch (outcome)
     {
-    case command_end::accepted:
+    case command_outcome::accepted:
         return "accepted";
-    case command_end::already_so:
+    case command_outcome::already_so:
         return "already_so";
-    case command_end::out_of_step:
+    case command_outcome::out_of_step:
         return "out_of_step";
-    case command_end::fenced_off:
+    case command_outcome::fenced_off:
         return "fenced_off";
-    case command_end::wrong_server:
+    case command_outcome::wrong_server:
         return "wrong_server";
-    case command_end::refused:
+    case command_outcome::refused:
         return "refused";
-    case command_end::not_sent:
+    case command_outcome::not_sent:
         return "not_sent";
-    case command_end::withheld:
+    case command_outcome::withheld:
         return "withheld";
-    case command_end::unknown:
+    case command_outcome::unknown:
         return "unknown";
     }
     return "unknown";
@@ -370,7 +370,7 @@
             return this->tenure && this->tenure->fence >= fence &&
                    this->owns(this->clock.now());
         },
-        [this, sent = std::move(sent), sent_at](command_end outcome)
+        [this, sent = std::move(sent), sent_at](command_outcome outcome)
         {
             if (!this->stopped)
                 this->handle_answer(sent, sent_at, outcome);
@@ -384,9 +384,10 @@
            engine->order->number == sent.number;
 }
 
-bool placement_controller::retry(const sent_order& sent, command_end outcome)
+bool placement_controller::retry(
+    const sent_order& sent, command_outcome outcome)
 {
-    if (outcome != command_end::unknown || !this->active ||
+    if (outcome != command_outcome::unknown || !this->active ||
         sent.retries >= this->settings.max_retries)
         return false;
     sent_order retried = sent;
@@ -396,7 +397,7 @@
 }
 
 void placement_controller::handle_answer(
-    const sent_order& sent, instant sent_at, command_end outcome)
+    const sent_order& sent, instant sent_at, command_outcome outcome)
 {
     const swap_order& order = sent.order;
     const std::string& engine = order.engine;
@@ -410,7 +411,7 @@
          {"adapter", order.adapter},
          {"outcome", to_string(outcome)},
          {"after_ms", whole_ms(now - sent_at)}});
-    if (outcome == command_end::fenced_off && this->fence() <= fence)
+    if (outcome == command_outcome::fenced_off && this->fence() <= fence)
     {
         this->end_ownership("an engine has taken a later owner's order");
         this->tenure.reset();
@@ -422,11 +423,11 @@
         return;
     // A retry is out of step if the engine took an earlier copy.
     const bool earlier_taken =
-        sent.retries != 0 && outcome == command_end::out_of_step;
+        sent.retries != 0 && outcome == command_outcome::out_of_step;
     if (earlier_taken)
-        outcome = command_end::unknown;
+        outcome = command_outcome::unknown;
     const bool unconfirmed = this->tracker.order_answered(engine, outcome, now);
-    if (outcome == command_end::wrong_server)
+    if (outcome == command_outcome::wrong_server)
     {
         this->handle_replaced(engine);
         return;
--- a/src/app/gateway/placement_controller.hpp
+++ b/src/app/gateway/placement_controller.hpp
@@ -138,9 +138,9 @@
     /// @return Whether this is still the engine's pending order.
     bool is_pending(const sent_order& sent) const;
     /// @return Whether the order was sent again.
-    bool retry(const sent_order& sent, command_end outcome);
-    void
-    handle_answer(const sent_order& sent, instant sent_at, command_end outcome);
+    bool retry(const sent_order& sent, command_outcome outcome);
+    void handle_answer(
+        const sent_order& sent, instant sent_at, command_outcome outcome);
     void schedule_report_read(
         const std::string& engine, std::chrono::milliseconds delay);
     void read_report(const std::string& engine);
--- a/src/app/gateway/quota_controller.cpp
+++ b/src/app/gateway/quota_controller.cpp
@@ -178,7 +178,7 @@
     this->flush();
 }
 
-void quota_controller::give_back(std::string organisation, double amount)
+void quota_controller::refund(std::string organisation, double amount)
 {
     asio::post(
         this->loop,
--- a/src/app/gateway/quota_controller.hpp
+++ b/src/app/gateway/quota_controller.hpp
@@ -66,7 +66,7 @@
 
     // quota_port
     void draw(quota_request request, handler on_decision) override;
-    void give_back(std::string organisation, double amount) override;
+    void refund(std::string organisation, double amount) override;
 
 private:
     void process_draw(const quota_request& request, handler on_decision);
--- a/src/app/gateway/server_limit_controller.cpp
+++ b/src/app/gateway/server_limit_controller.cpp
@@ -272,7 +272,7 @@
     if (found == this->limited_servers.end())
         return;
     if (this->dispatch.permit_withdrawn(found->second.place))
-        this->quotas.give_back(server_account(server), 1);
+        this->quotas.refund(server_account(server), 1);
 }
 
 void server_limit_controller::schedule_tick()
--- a/src/core/swapping/engine_tracker.cpp
+++ b/src/core/swapping/engine_tracker.cpp
@@ -239,18 +239,18 @@
 }
 
 bool engine_tracker::order_answered(
-    std::string_view id, command_end outcome, instant now)
+    std::string_view id, command_outcome outcome, instant now)
 {
     engine_state* engine = this->find_mutable(id);
     if (engine == nullptr || !engine->order)
         return false;
     pending_order& order = *engine->order;
-    engine->out_of_step_orders = outcome == command_end::out_of_step
+    engine->out_of_step_orders = outcome == command_outcome::out_of_step
                                      ? engine->out_of_step_orders + 1
                                      : 0;
     switch (outcome)
     {
-    case command_end::accepted:
+    case command_outcome::accepted:
         ++engine->orders_taken;
         order.expected_completion = now + this->order_time(*engine, order);
         if (order.adapter.empty() || order.action == engine_action::load)
@@ -259,26 +259,26 @@
         this->revert_order(*engine);
         engine->state_confirmed = false;
         return true;
-    case command_end::already_so:
+    case command_outcome::already_so:
         // The engine counts an adapter's order even when it is done at once. It
         // doesn't count the load of a model that is loaded already.
         if (!order.adapter.empty())
             ++engine->orders_taken;
         order.expected_completion = now;
         return false;
-    case command_end::not_sent:
+    case command_outcome::not_sent:
         this->mark_unreachable(id);
         break;
-    case command_end::withheld:
-    case command_end::out_of_step:
+    case command_outcome::withheld:
+    case command_outcome::out_of_step:
         this->revert_order(*engine);
         engine->state_confirmed =
             engine->out_of_step_orders < this->settings.max_out_of_step_orders;
         break;
-    case command_end::fenced_off:
-    case command_end::wrong_server:
-    case command_end::refused:
-    case command_end::unknown:
+    case command_outcome::fenced_off:
+    case command_outcome::wrong_server:
+    case command_outcome::refused:
+    case command_outcome::unknown:
         this->revert_order(*engine);
         engine->state_confirmed = false;
         break;
--- a/src/core/swapping/engine_tracker.hpp
+++ b/src/core/swapping/engine_tracker.hpp
@@ -212,7 +212,8 @@
 
     /// Records the outcome of the pending order.
     /// @return Whether the engine's report has to be read.
-    bool order_answered(std::string_view id, command_end outcome, instant now);
+    bool
+    order_answered(std::string_view id, command_outcome outcome, instant now);
 
     /// Completes the orders whose expected time has come, except loads from the
     /// store.
--- a/src/ports/directory_port.hpp
+++ b/src/ports/directory_port.hpp
@@ -49,7 +49,7 @@
 
     /// Called when it changes whether another router is known to have a newer
     /// configuration than this one.
-    virtual void deployment_behind(bool stale) = 0;
+    virtual void deployment_staleness_changed(bool stale) = 0;
 
     /// A full read of the registry has completed.
     virtual void servers_listed(std::vector<server_entry> all) = 0;
@@ -67,7 +67,7 @@
     /// This router has lost ownership, or has resigned, though the store may
     /// not have answered yet. The other routers have to be notified, so that
     /// one of them acquires ownership.
-    virtual void ownership_left() = 0;
+    virtual void ownership_ended() = 0;
 
     /// The term has expired without a renewal, and another router may own
     /// placement by now. If none does, this router's next tenure has the same
@@ -75,13 +75,13 @@
     virtual void term_ended() = 0;
 
     /// Several calls in a row got no answer from the store.
-    virtual void directory_lost() = 0;
+    virtual void store_unreachable() = 0;
 
     /// The store answers again.
-    virtual void directory_back() = 0;
+    virtual void store_reachable() = 0;
 
     /// Another router reported that the store answers again.
-    virtual void registry_back() = 0;
+    virtual void store_recovery_reported() = 0;
 
     /// This router has read an update from the store. It has to be sent to the
     /// other routers, which then needn't read it themselves.
@@ -99,16 +99,16 @@
 
     /// Tells whether an owner is known. Routers apply for ownership only while
     /// none is.
-    virtual void owner_heard(bool known) = 0;
+    virtual void set_owner_known(bool known) = 0;
 
     /// Another router sent an update that it has read from the store.
-    virtual void word_heard(const directory_word& update) = 0;
+    virtual void apply_peer_update(const directory_word& update) = 0;
 
     /// Another router owns placement with the given fencing number. If the
     /// number is higher than that of this router's tenure, this router doesn't
     /// renew: after a partition from the store, a renewal would take the
     /// ownership back from the new owner.
-    virtual void another_owns(std::uint64_t fence) = 0;
+    virtual void other_owner_detected(std::uint64_t fence) = 0;
 
     /// Releases ownership, so that the next owner needn't wait for the term to
     /// expire.
--- a/src/ports/engine_command_port.hpp
+++ b/src/ports/engine_command_port.hpp
@@ -32,7 +32,7 @@
 };
 
 /// The outcome of an order.
-enum class command_end : std::uint8_t
+enum class command_outcome : std::uint8_t
 {
     accepted,     ///< the engine is carrying it out
     already_so,   ///< the engine was already in the requested state
@@ -50,7 +50,7 @@
 class engine_command_port
 {
 public:
-    using command_done = std::function<void(command_end)>;
+    using command_done = std::function<void(command_outcome)>;
     using report_done = std::function<void(std::optional<holdings_report>)>;
 
     virtual ~engine_command_port() = default;
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -19,20 +19,22 @@
 public:
     virtual ~gateway_peer_listener() = default;
 
-    virtual void router_word_heard(const router_report& report) = 0;
+    virtual void router_report_received(const router_report& report) = 0;
 
     /// @param from UDP ip:port of the owner.
-    virtual void owner_word_heard(
+    virtual void owner_announcement_received(
         const owner_announcement& announcement, std::string_view from) = 0;
 
-    virtual void break_word_heard(const connection_loss_report& report) = 0;
-    virtual void directory_word_heard(const directory_word& update) = 0;
+    virtual void
+    connection_loss_received(const connection_loss_report& report) = 0;
+    virtual void directory_update_received(const directory_word& update) = 0;
 
     /// @param from UDP ip:port of the router.
     virtual void
-    quota_ask_heard(const quota_ask& query, std::string_view from) = 0;
-    virtual void quota_answer_heard(const quota_answer& reply) = 0;
-    virtual void server_limit_word_heard(const server_limit_word& limits) = 0;
+    quota_query_received(const quota_ask& query, std::string_view from) = 0;
+    virtual void quota_reply_received(const quota_answer& reply) = 0;
+    virtual void
+    server_limit_update_received(const server_limit_word& limits) = 0;
 };
 
 /// Port: datagrams between gateways. Delivery isn't guaranteed.
--- a/src/ports/log_port.hpp
+++ b/src/ports/log_port.hpp
@@ -37,7 +37,7 @@
 
     /// The retained range of the log was read again.
     /// @param first Oldest offset that the log retains.
-    virtual void log_kept(log_offset first) = 0;
+    virtual void oldest_offset_read(log_offset first) = 0;
 
     /// A read failed. The port retries with an increasing delay.
     virtual void log_failed(log_fault fault) = 0;
@@ -62,7 +62,7 @@
 
     /// A caller is waiting for the next entries: for a while, reads don't wait
     /// for entries to accumulate. A hint.
-    virtual void hurry() = 0;
+    virtual void expedite_reads() = 0;
 
     /// Appends a batch. Batches are sent one at a time, in order. The listener
     /// gets exactly one answer unless the port is stopped. The port never
--- a/src/ports/peer_port.hpp
+++ b/src/ports/peer_port.hpp
@@ -27,10 +27,10 @@
     virtual ~peer_listener() = default;
 
     /// Another router has demand for a servable.
-    virtual void demand_heard(const servable_demand& demand) = 0;
+    virtual void demand_received(const servable_demand& demand) = 0;
 
     /// A caller used a servable at another router.
-    virtual void visit_heard(const caller_visit& visit) = 0;
+    virtual void visit_received(const caller_visit& visit) = 0;
 
     /// The sessions that are considered alive, including this router's.
     virtual void peers_alive(std::span<const session_id> alive) = 0;
--- a/src/ports/quota_port.hpp
+++ b/src/ports/quota_port.hpp
@@ -31,7 +31,7 @@
     virtual void draw(quota_request request, handler on_decision) = 0;
 
     /// Returns the tokens reserved for a request that didn't run and won't.
-    virtual void give_back(std::string organisation, double amount) = 0;
+    virtual void refund(std::string organisation, double amount) = 0;
 };
 
 } // namespace roseworks
--- a/tests/unit/app/control_loop_test.cpp
+++ b/tests/unit/app/control_loop_test.cpp
@@ -121,7 +121,7 @@
             this->log.deliver();
             this->engines.answer_reads();
             // A record heard over UDP makes the controller look at the time.
-            this->loop.demand_heard({});
+            this->loop.demand_received({});
         }
     }
 
--- a/tests/unit/app/fake_platform.hpp
+++ b/tests/unit/app/fake_platform.hpp
@@ -45,7 +45,7 @@
         this->next_read = from.value;
     }
 
-    void hurry() override
+    void expedite_reads() override
     {
         ++this->hurried;
     }
--- a/tests/unit/forward/forward_fixture.cpp
+++ b/tests/unit/forward/forward_fixture.cpp
@@ -220,7 +220,7 @@
     told(made);
 }
 
-void fake_limits::give_back(std::string, double amount)
+void fake_limits::refund(std::string, double amount)
 {
     const std::lock_guard lock(this->mutex);
     this->returned += amount;
--- a/tests/unit/forward/forward_fixture.hpp
+++ b/tests/unit/forward/forward_fixture.hpp
@@ -33,7 +33,7 @@
 {
 public:
     void draw(quota_request request, handler told) override;
-    void give_back(std::string organisation, double amount) override;
+    void refund(std::string organisation, double amount) override;
 
     std::mutex mutex;
     quota_decision next{0, true, {}, {}};
--- a/tests/unit/gateway/test_placement_controller.cpp
+++ b/tests/unit/gateway/test_placement_controller.cpp
@@ -68,7 +68,7 @@
     placement_fixture test(1);
     test.acquire_ownership(7);
     test.report_demand("m1");
-    test.next_command().done(command_end::fenced_off);
+    test.next_command().done(command_outcome::fenced_off);
     cr_assert_not(test.controller.owns(test.clock.time));
     test.report_demand("m2");
     cr_assert_eq(test.orders_sent(), 0);
@@ -81,12 +81,12 @@
     test.acquire_ownership(7);
     test.report_demand("m1");
     const auto first = test.next_command();
-    first.done(command_end::unknown);
+    first.done(command_outcome::unknown);
     const auto second = test.next_command();
     cr_assert_eq(second.order.model, first.order.model);
     cr_assert_eq(second.order.orders_taken, first.order.orders_taken);
     cr_assert_eq(second.order.fence, first.order.fence);
-    second.done(command_end::accepted);
+    second.done(command_outcome::accepted);
     cr_assert_eq(test.controller.engines().find("e1")->orders_taken, 1);
     cr_assert(test.controller.engines().find("e1")->state_confirmed);
 }
@@ -98,8 +98,8 @@
     placement_fixture test(1);
     test.acquire_ownership(7);
     test.report_demand("m1");
-    test.next_command().done(command_end::unknown);
-    test.next_command().done(command_end::out_of_step);
+    test.next_command().done(command_outcome::unknown);
+    test.next_command().done(command_outcome::out_of_step);
     cr_assert_not(test.controller.engines().find("e1")->state_confirmed);
     test.answer_report({"m1"}, 1);
     cr_assert(test.controller.engines().find("e1")->state_confirmed);
@@ -119,7 +119,7 @@
     test.report_demand("m1");
     const auto second = test.next_command();
     cr_assert_eq(second.order.fence, 9);
-    first.done(command_end::unknown);
+    first.done(command_outcome::unknown);
     cr_assert_eq(test.orders_sent(), 0);
 }
 
@@ -134,17 +134,17 @@
     test.acquire_ownership(9);
     test.report_demand("m1");
     const auto second = test.next_command();
-    for (const command_end late :
-         {command_end::accepted,
-          command_end::not_sent,
-          command_end::wrong_server})
+    for (const command_outcome late :
+         {command_outcome::accepted,
+          command_outcome::not_sent,
+          command_outcome::wrong_server})
         first.done(late);
     const engine_state* engine = test.controller.engines().find("e1");
     cr_assert(engine->order.has_value());
     cr_assert(!engine->order->expected_completion);
     cr_assert_eq(engine->orders_taken, 0);
     cr_assert(engine->state_confirmed);
-    second.done(command_end::accepted);
+    second.done(command_outcome::accepted);
     cr_assert_eq(engine->orders_taken, 1);
 }
 
@@ -172,7 +172,7 @@
     test.acquire_ownership(7);
     test.report_demand("m1");
     for (int sent = 0; sent < 3; ++sent)
-        test.next_command().done(command_end::unknown);
+        test.next_command().done(command_outcome::unknown);
     cr_assert_eq(test.orders_sent(), 0);
     cr_assert_not(test.controller.engines().find("e1")->state_confirmed);
 }
@@ -213,7 +213,7 @@
     test.acquire_ownership(7);
     test.report_demand("m1");
     const auto first = test.next_command();
-    first.done(command_end::wrong_server);
+    first.done(command_outcome::wrong_server);
     const auto second = test.next_command();
     cr_assert_neq(second.order.engine, first.order.engine);
     cr_assert_not(
@@ -289,7 +289,7 @@
     placement_fixture test(1);
     test.acquire_ownership(7);
     test.report_demand("m1");
-    test.next_command().done(command_end::accepted);
+    test.next_command().done(command_outcome::accepted);
     test.clock.time += 1s;
     test.controller.term_ended();
     cr_assert(test.announcements.back().term_expired);
@@ -314,7 +314,7 @@
     placement_fixture test(1);
     test.acquire_ownership(7);
     test.report_demand("m1");
-    test.next_command().done(command_end::accepted);
+    test.next_command().done(command_outcome::accepted);
     test.controller.tenure_changed(std::nullopt);
     test.controller.other_owner_announced(8);
     const instant regained = test.clock.time;
--- a/tests/unit/log_client/http_log_client_test.cpp
+++ b/tests/unit/log_client/http_log_client_test.cpp
@@ -62,7 +62,7 @@
         this->end = next;
     }
 
-    void log_kept(log_offset first) override
+    void oldest_offset_read(log_offset first) override
     {
         this->kept = first;
     }
@@ -377,7 +377,7 @@
 {
     gathering_bench bench;
     cr_assert(bench.until_read(2));
-    bench.client.hurry();
+    bench.client.expedite_reads();
     cr_expect(bench.until_read(10));
 }
 
--- a/tests/unit/peers/peers_test.cpp
+++ b/tests/unit/peers/peers_test.cpp
@@ -63,12 +63,12 @@
 class recorder : public peer_listener
 {
 public:
-    void visit_heard(const caller_visit& what) override
+    void visit_received(const caller_visit& what) override
     {
         this->visits.push_back(what);
     }
 
-    void demand_heard(const servable_demand& what) override
+    void demand_received(const servable_demand& what) override
     {
         this->demands.push_back(what);
     }
--- a/tests/unit/swapping/swap_fixture.hpp
+++ b/tests/unit/swapping/swap_fixture.hpp
@@ -136,7 +136,8 @@
         sent.adapter = order.adapter;
         sent.source = order.source;
         this->engines.order_sent(order.engine, sent, now);
-        this->engines.order_answered(order.engine, command_end::accepted, now);
+        this->engines.order_answered(
+            order.engine, command_outcome::accepted, now);
     }
 
     std::shared_ptr<const deployment> configuration;
--- a/tests/unit/swapping/test_engine_tracker.cpp
+++ b/tests/unit/swapping/test_engine_tracker.cpp
@@ -30,7 +30,7 @@
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engines.order_sent("e1", load_of("m1"), at(1s));
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(1s)));
-    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.order_answered("e1", command_outcome::accepted, at(1s));
     cr_assert(test.engines.complete_due_orders(at(1s + 799ms)).empty());
     const auto done = test.engines.complete_due_orders(at(1s + 800ms));
     cr_assert_eq(done.size(), 1);
@@ -52,8 +52,8 @@
 
 Test(engine_tracker, a_rejected_unload_restores_the_model)
 {
-    for (const command_end how :
-         {command_end::out_of_step, command_end::withheld})
+    for (const command_outcome how :
+         {command_outcome::out_of_step, command_outcome::withheld})
     {
         swap_fixture test(3);
         test.engine("e1", {"m1"}, {}, at(0s));
@@ -76,7 +76,8 @@
     swap_fixture test(3);
     test.engine("e1", {"m1"}, {}, at(0s));
     test.engines.order_sent("e1", unload_of("m1"), at(1s));
-    cr_assert(test.engines.order_answered("e1", command_end::not_sent, at(1s)));
+    cr_assert(
+        test.engines.order_answered("e1", command_outcome::not_sent, at(1s)));
     const engine_state* engine = test.engines.find("e1");
     cr_assert_not_null(engine->find("m1"));
     cr_assert_not(engine->reachable);
@@ -91,7 +92,7 @@
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engines.order_sent("e1", load_of("m1"), at(1s));
-    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.order_answered("e1", command_outcome::accepted, at(1s));
     test.engines.mark_unreachable("e1");
     cr_assert(test.engines.complete_due_orders(at(3s)).empty());
     cr_assert_null(test.engines.find("e1")->find("m1"));
@@ -105,7 +106,8 @@
     {
         test.engines.order_sent("e1", load_of("m1"), at(1s));
         cr_assert_eq(
-            test.engines.order_answered("e1", command_end::out_of_step, at(1s)),
+            test.engines.order_answered(
+                "e1", command_outcome::out_of_step, at(1s)),
             last);
     }
     cr_assert_not(test.engines.find("e1")->accepts_orders(at(10s)));
@@ -113,11 +115,11 @@
 
 Test(engine_tracker, an_order_that_failed_or_is_unknown_requires_a_report)
 {
-    for (const command_end how :
-         {command_end::unknown,
-          command_end::refused,
-          command_end::wrong_server,
-          command_end::fenced_off})
+    for (const command_outcome how :
+         {command_outcome::unknown,
+          command_outcome::refused,
+          command_outcome::wrong_server,
+          command_outcome::fenced_off})
     {
         swap_fixture test(3);
         test.engine("e1", {}, {"m1"}, at(0s));
@@ -147,7 +149,7 @@
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engines.order_sent("e1", load_of("m1"), at(1s));
-    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.order_answered("e1", command_outcome::accepted, at(1s));
     test.engines.complete_due_orders(at(2s));
     test.engines.take_over(3s, false);
     test.report_state("e1", {"m2"}, {"m1"}, 3, at(2s + 500ms));
@@ -160,7 +162,7 @@
     swap_fixture test(3);
     test.engine("e1", {}, {"m1"}, at(0s));
     test.engines.order_sent("e1", load_of("m1"), at(1s));
-    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.order_answered("e1", command_outcome::accepted, at(1s));
     test.engines.complete_due_orders(at(2s));
     test.engines.take_over(3s, false);
     cr_assert_not(
@@ -190,7 +192,7 @@
     for (const char* model : {"m0", "m1", "m2"})
     {
         test.engines.order_sent("e1", load_of(model), now);
-        test.engines.order_answered("e1", command_end::accepted, now);
+        test.engines.order_answered("e1", command_outcome::accepted, now);
         now += 1s;
         test.engines.complete_due_orders(now);
     }
@@ -209,13 +211,14 @@
     pending_order load = load_of("m1");
     load.adapter = "a1";
     test.engines.order_sent("e1", load, at(1s));
-    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.order_answered("e1", command_outcome::accepted, at(1s));
     test.engines.complete_due_orders(at(2s));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 1);
     pending_order unload = unload_of("m1");
     unload.adapter = "a1";
     test.engines.order_sent("e1", unload, at(3s));
-    cr_assert(test.engines.order_answered("e1", command_end::accepted, at(3s)));
+    cr_assert(
+        test.engines.order_answered("e1", command_outcome::accepted, at(3s)));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 1);
     cr_assert_not(
         test.engines.find("e1")->accepts_orders(at(9s)),
@@ -229,13 +232,13 @@
     pending_order load = load_of("m1");
     load.adapter = "a1";
     test.engines.order_sent("e1", load, at(1s));
-    test.engines.order_answered("e1", command_end::accepted, at(1s));
+    test.engines.order_answered("e1", command_outcome::accepted, at(1s));
     test.engines.complete_due_orders(at(2s));
     pending_order unload = unload_of("m1");
     unload.adapter = "a1";
     test.engines.order_sent("e1", unload, at(3s));
     cr_assert_not(
-        test.engines.order_answered("e1", command_end::already_so, at(3s)));
+        test.engines.order_answered("e1", command_outcome::already_so, at(3s)));
     test.engines.complete_due_orders(at(3s));
     cr_assert_eq(test.engines.find("e1")->adapter_count(), 0);
     cr_assert_eq(test.engines.find("e1")->orders_taken, 2);
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -147,7 +147,7 @@
         this->version = read->version;
     }
 
-    void deployment_behind(bool behind) override
+    void deployment_staleness_changed(bool behind) override
     {
         this->behind.push_back(behind);
     }
@@ -160,11 +160,11 @@
     void server_removed(std::string_view) override {}
     void routers_listed(std::vector<router_address>) override {}
     void tenure_changed(std::optional<placement_tenure>) override {}
-    void ownership_left() override {}
+    void ownership_ended() override {}
     void term_ended() override {}
-    void directory_lost() override {}
-    void directory_back() override {}
-    void registry_back() override {}
+    void store_unreachable() override {}
+    void store_reachable() override {}
+    void store_recovery_reported() override {}
     void store_read(const directory_word&) override {}
 
     std::uint64_t version = 0;
@@ -205,7 +205,7 @@
               this->copies)
     {
         this->directory.start(this->listener);
-        this->directory.owner_heard(true);
+        this->directory.set_owner_known(true);
     }
 
     ~refused_directory()
@@ -267,7 +267,7 @@
     test.copies.version = 8;
     directory_word word;
     word.deployment = {6, 10};
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     test.run_until(
         [&]
         {
@@ -295,7 +295,7 @@
     word.deployment = {6, 10};
     word.registry = {8, 10};
     word.registry_from = 7;
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     test.run_until(
         [&]
         {
@@ -344,7 +344,7 @@
     const std::size_t asked = test.copies.asked.size();
     directory_word word;
     word.deployment = {6, 10};
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     test.run_until(
         [&]
         {
@@ -373,7 +373,7 @@
     directory_word word;
     word.deployment = {6, 10};
     test.copies.gives = false;
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     test.run_until(
         [&]
         {
--- a/tests/unit/users_platform/test_directory_words.cpp
+++ b/tests/unit/users_platform/test_directory_words.cpp
@@ -30,7 +30,7 @@
 public:
     void deployment_read(std::shared_ptr<const deployment>) override {}
 
-    void deployment_behind(bool) override {}
+    void deployment_staleness_changed(bool) override {}
     void servers_listed(std::vector<server_entry>) override
     {
         this->listed = true;
@@ -52,12 +52,12 @@
     }
 
     void tenure_changed(std::optional<placement_tenure>) override {}
-    void ownership_left() override {}
+    void ownership_ended() override {}
     void term_ended() override {}
-    void directory_lost() override {}
-    void directory_back() override {}
+    void store_unreachable() override {}
+    void store_reachable() override {}
 
-    void registry_back() override
+    void store_recovery_reported() override
     {
         ++this->returns;
     }
@@ -94,7 +94,7 @@
             encode_router(
                 {{"edge-2", "10.0.0.2:1", others_capacity}, false, 1}));
         this->directory.start(this->listener);
-        this->directory.owner_heard(true);
+        this->directory.set_owner_known(true);
         while (!this->listener.listed)
             this->loop.run_one();
     }
@@ -156,7 +156,7 @@
     listed_directory test;
     directory_word word = word_of(1, 10);
     word.changes = {change_of(3, "e1", false), change_of(4, "e2", true)};
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     cr_assert_eq(test.listener.read.size(), 1);
     cr_assert_eq(test.listener.read[0].id, "e1");
     cr_assert_eq(test.listener.read[0].heard, 3);
@@ -170,11 +170,11 @@
     listed_directory test;
     directory_word word = word_of(1, 5);
     word.changes = {change_of(2, "e1", true)};
-    test.directory.word_heard(word);
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
+    test.directory.apply_peer_update(word);
     word = word_of(1, 9);
     word.changes = {change_of(2, "e1", true), change_of(7, "e1", false)};
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     cr_assert_eq(test.listener.removed.size(), 1);
     cr_assert_eq(test.listener.read.size(), 1);
 }
@@ -185,7 +185,7 @@
     const int before = test.store.reads();
     directory_word word = word_of(8, 9);
     word.changes = {change_of(8, "e1", false)};
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     cr_assert(test.listener.read.empty());
     while (test.store.reads() == before)
         test.loop.run_one();
@@ -198,10 +198,10 @@
     listed_directory test;
     directory_word word = word_of(1, 2);
     word.back_for_us = 1000;
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     word = word_of(2, 3);
     word.back_for_us = 400'000;
-    test.directory.word_heard(word);
+    test.directory.apply_peer_update(word);
     cr_assert_eq(test.listener.returns, 1);
 }
 
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -21,38 +21,38 @@
 class kept_words final : public gateway_peer_listener
 {
 public:
-    void router_word_heard(const router_report& word) override
+    void router_report_received(const router_report& word) override
     {
         this->routers.push_back(word);
     }
 
-    void
-    owner_word_heard(const owner_announcement& word, std::string_view) override
+    void owner_announcement_received(
+        const owner_announcement& word, std::string_view) override
     {
         this->owners.push_back(word);
     }
 
-    void break_word_heard(const connection_loss_report& word) override
+    void connection_loss_received(const connection_loss_report& word) override
     {
         this->breaks.push_back(word);
     }
 
-    void directory_word_heard(const directory_word& word) override
+    void directory_update_received(const directory_word& word) override
     {
         this->directories.push_back(word);
     }
 
-    void quota_ask_heard(const quota_ask& ask, std::string_view) override
+    void quota_query_received(const quota_ask& ask, std::string_view) override
     {
         this->asks.push_back(ask);
     }
 
-    void quota_answer_heard(const quota_answer& answer) override
+    void quota_reply_received(const quota_answer& answer) override
     {
         this->answers.push_back(answer);
     }
 
-    void server_limit_word_heard(const server_limit_word& word) override
+    void server_limit_update_received(const server_limit_word& word) override
     {
         this->limits.push_back(word);
     }
--- a/tests/unit/users_platform/test_own_record.cpp
+++ b/tests/unit/users_platform/test_own_record.cpp
@@ -84,15 +84,15 @@
     }
 
     void deployment_read(std::shared_ptr<const deployment>) override {}
-    void deployment_behind(bool) override {}
+    void deployment_staleness_changed(bool) override {}
     void servers_listed(std::vector<server_entry>) override {}
     void server_read(server_entry) override {}
     void server_removed(std::string_view) override {}
     void routers_listed(std::vector<router_address>) override {}
-    void ownership_left() override {}
-    void directory_lost() override {}
-    void directory_back() override {}
-    void registry_back() override {}
+    void ownership_ended() override {}
+    void store_unreachable() override {}
+    void store_reachable() override {}
+    void store_recovery_reported() override {}
     void store_read(const directory_word&) override {}
 
     void tenure_changed(std::optional<placement_tenure> held) override
@@ -133,7 +133,7 @@
         loop, options_for(store, lease), clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     loop.run();
     directory.stop();
     cr_assert(listener.heard.has_value());
@@ -250,8 +250,8 @@
     directory.start(listener);
     while (store.reads() < 6)
     {
-        directory.owner_heard(true);
-        directory.owner_heard(false);
+        directory.set_owner_known(true);
+        directory.set_owner_known(false);
         loop.run_one();
     }
     directory.stop();
@@ -279,7 +279,7 @@
         copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(true);
+    directory.set_owner_known(true);
     while (store.reads() < 6)
         loop.run_one();
     directory.stop();
@@ -306,7 +306,7 @@
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     while (!listener.ended)
     {
         loop.run();
@@ -331,11 +331,11 @@
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     loop.run();
     loop.restart();
-    directory.another_owns(listener.heard->fence + 1);
-    directory.owner_heard(true);
+    directory.other_owner_detected(listener.heard->fence + 1);
+    directory.set_owner_known(true);
     const int seen = store.reads();
     while (store.reads() < seen + 6)
         loop.run_one();
@@ -363,7 +363,7 @@
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     const auto run_on = [&](auto reached)
     {
         while (!reached())
