--- a/src/app/gateway/main.cpp
+++ b/src/app/gateway/main.cpp
@@ -33,7 +33,7 @@
             BOOST_LEAF_AUTO(settings, settings::load_gateway_settings(path));
             if (arguments.count("check") == 0)
                 return serve(settings, path);
-            std::cout << "settings are valid\n";
+            std::cout << "settings are right\n";
             return EXIT_SUCCESS;
         },
         [](const settings::settings_problems& problems)
--- a/src/ports/directory_port.hpp
+++ b/src/ports/directory_port.hpp
@@ -47,8 +47,8 @@
     virtual void
     deployment_read(std::shared_ptr<const deployment> configuration) = 0;
 
-    /// Called when it changes whether another router is known to have a newer
-    /// configuration than this one.
+    /// @param stale Whether another router is known to have a newer
+    ///              configuration than this one.
     virtual void deployment_staleness_changed(bool stale) = 0;
 
     /// A full read of the registry has completed.
--- a/tests/unit/gateway/test_placement_controller.cpp
+++ b/tests/unit/gateway/test_placement_controller.cpp
@@ -179,7 +179,7 @@
 
 /// A dead engine stays in the registry for seconds. Until it is marked as
 /// unreachable, requests for its models have no engine.
-Test(placement_controller, an_engine_without_a_report_gets_no_orders)
+Test(placement_controller, an_engine_that_does_not_answer_gets_no_orders)
 {
     placement_fixture test(2);
     test.acquire_ownership(7, {"m0"});
