--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -153,7 +153,7 @@
     }
     this->inbox->finish();
     if (this->quota_reserved && !this->may_have_run)
-        this->context.ports.quotas.give_back(
+        this->context.ports.quotas.refund(
             this->organisation.name, this->organisation.cost);
     beast::error_code ignored;
     this->caller.stream.socket().cancel(ignored);
--- a/src/adapters/log/http_log_client.cpp
+++ b/src/adapters/log/http_log_client.cpp
@@ -109,7 +109,7 @@
     this->pacing_timer.cancel();
 }
 
-void http_log_client::hurry()
+void http_log_client::expedite_reads()
 {
     this->urgent_until =
         std::chrono::steady_clock::now() + this->settings.urgent_period;
@@ -230,7 +230,7 @@
         std::max(this->known_end, offset_field(answer.body, "next_offset"));
     const log_offset first = offset_field(answer.body, "first_offset");
     if (first && first <= this->next_read)
-        this->listener->log_kept(first);
+        this->listener->oldest_offset_read(first);
 }
 
 asio::awaitable<void> http_log_client::send_pending_appends()
--- a/src/adapters/peers/gateway_peers.cpp
+++ b/src/adapters/peers/gateway_peers.cpp
@@ -119,32 +119,33 @@
     {
     case message_kind::router_status:
         if (router_report report; this->decode(body, report))
-            this->listener->router_word_heard(report);
+            this->listener->router_report_received(report);
         return;
     case message_kind::ownership:
         if (owner_announcement announcement; this->decode(body, announcement))
-            this->listener->owner_word_heard(
+            this->listener->owner_announcement_received(
                 announcement, this->sender_address());
         return;
     case message_kind::connection_loss:
         if (connection_loss_report report; this->decode(body, report))
-            this->listener->break_word_heard(report);
+            this->listener->connection_loss_received(report);
         return;
     case message_kind::directory:
         if (directory_update message; this->decode(body, message))
-            this->listener->directory_word_heard(message);
+            this->listener->directory_update_received(message);
         return;
     case message_kind::quota_request:
         if (quota_query request; this->decode(body, request))
-            this->listener->quota_ask_heard(request, this->sender_address());
+            this->listener->quota_query_received(
+                request, this->sender_address());
         return;
     case message_kind::quota_response:
         if (quota_reply response; this->decode(body, response))
-            this->listener->quota_answer_heard(response);
+            this->listener->quota_reply_received(response);
         return;
     case message_kind::server_limits:
         if (server_limit_update message; this->decode(body, message))
-            this->listener->server_limit_word_heard(message);
+            this->listener->server_limit_update_received(message);
         return;
     }
     ++this->rejected_count;
--- a/src/adapters/peers/udp_peers.cpp
+++ b/src/adapters/peers/udp_peers.cpp
@@ -236,9 +236,9 @@
     if (this->listener == nullptr)
         return;
     for (const servable_demand& demand : this->members.take_demands())
-        this->listener->demand_heard(demand);
+        this->listener->demand_received(demand);
     for (const caller_visit& visit : this->members.take_visits())
-        this->listener->visit_heard(visit);
+        this->listener->visit_received(visit);
     if (this->members.take_changed())
         this->notify_listener();
 }
--- a/src/app/gateway/gateway_app.hpp
+++ b/src/app/gateway/gateway_app.hpp
@@ -29,13 +29,13 @@
     std::string reason;
 };
 
-/** The gateway: one process on every VM, which forwards callers' requests to
+/** The gateway: one process on each VM, which forwards callers' requests to
     the backend servers of the platform.
 
-    Two threads: traffic on the calling one, control state on its own. SIGTERM
-    makes it not ready at once; it goes on taking and finishing requests until
-    the load balancer has seen that, and exits with 0. SIGHUP reads the settings
-    again.
+    Traffic runs on the calling thread, and the control state on a thread of its
+    own. SIGTERM starts a drain: the readiness probe fails at once, but the
+    gateway accepts and finishes requests until the load balancer has noticed,
+    and then exits with status 0. SIGHUP checks the settings file.
 */
 class gateway_app
 {
@@ -48,8 +48,8 @@
     gateway_app(const gateway_app&) = delete;
     gateway_app& operator=(const gateway_app&) = delete;
 
-    /// Serves until a signal ends it.
-    /// @return The process's exit status.
+    /// Serves requests until a signal stops the process.
+    /// @return The exit status of the process.
     int run();
 
 private:
@@ -58,12 +58,12 @@
 
     boost::leaf::result<void> listen();
     forward::forward_context make_context();
-    gateway_control::notices make_notices();
+    gateway_control::callbacks make_callbacks();
     void wait_for_signals();
     void reload();
     void start_drain();
-    void look_whether_drained();
-    void count_lines();
+    void check_drained();
+    void report_dropped_lines();
     void finish();
     forward::probe_response readiness() const;
     forward::probe_response metrics_page(std::string_view path) const;
@@ -84,8 +84,8 @@
     forward::probe_server metrics_probe;
     boost::asio::signal_set signals;
     boost::asio::steady_timer drain_timer;
-    boost::asio::steady_timer lines_timer;
-    instant drain_began;
+    boost::asio::steady_timer dropped_lines_timer;
+    instant drain_start;
     bool draining = false;
     bool idle_closed = false;
 };
--- a/src/app/gateway/main.cpp
+++ b/src/app/gateway/main.cpp
@@ -48,7 +48,7 @@
         },
         []
         {
-            std::cerr << "the gateway can't start\n";
+            std::cerr << "the gateway failed to start\n";
             return EXIT_FAILURE;
         });
 }
--- /dev/null
+++ b/src/app/gateway/quota_controller.cpp
@@ -0,0 +1,320 @@
+#include "app/gateway/quota_controller.hpp"
+
+#include <boost/asio/post.hpp>
+#include <xxhash.h>
+
+#include <algorithm>
+#include <utility>
+
+namespace roseworks::app
+{
+
+namespace asio = boost::asio;
+
+namespace
+{
+
+/// Number of routers that may be the accountant; no other router is asked.
+constexpr std::size_t max_accountants = 8;
+
+/// Minimum capacity of an accountant's VM, relative to the largest one: an
+/// accountant gets the messages of all other routers and answers each at once.
+constexpr double min_relative_capacity = 0.5;
+
+/// Interval between log lines about refusals of an account.
+constexpr duration log_interval = std::chrono::seconds(1);
+
+/// @return The rank of a router as accountant. It is the same on all routers,
+///         and hashed so that the order differs from that of the names: a VM
+///         that comes first by name doesn't get every single-router role.
+std::uint64_t rank_of(std::string_view name)
+{
+    constexpr std::uint64_t seed = 0x71756F7461;
+    return XXH64(name.data(), name.size(), seed);
+}
+
+std::vector<std::string> select_accountants(std::span<const router_address> all)
+{
+    double strongest = 0;
+    for (const router_address& one : all)
+        strongest = std::max(strongest, one.capacity);
+    std::vector<std::string> names;
+    for (const router_address& one : all)
+    {
+        if (one.capacity >= strongest * min_relative_capacity)
+            names.push_back(one.name);
+    }
+    std::ranges::sort(names, std::ranges::greater(), rank_of);
+    names.resize(std::min(names.size(), max_accountants));
+    return names;
+}
+
+std::int64_t to_integer(double amount)
+{
+    return static_cast<std::int64_t>(amount);
+}
+
+quota_client::options client_options(const quota_controller::options& settings)
+{
+    quota_client::options made;
+    made.router = settings.router;
+    made.bounds = settings.bounds;
+    made.mode = settings.way;
+    made.seed = settings.seed;
+    return made;
+}
+
+} // namespace
+
+quota_controller::quota_controller(
+    asio::io_context& context,
+    options initial_settings,
+    const clock_port& time,
+    event_sink& sink,
+    gateway_peer_port& others)
+    : loop(context)
+    , settings(std::move(initial_settings))
+    , clock(time)
+    , events(sink)
+    , peers(others)
+    , accountant(this->settings.router, this->settings.bounds)
+    , client(client_options(this->settings))
+    , timer(context)
+{
+}
+
+void quota_controller::start()
+{
+    this->last_log = this->clock.now();
+    this->schedule_tick();
+}
+
+void quota_controller::stop()
+{
+    this->stopped = true;
+    this->timer.cancel();
+}
+
+void quota_controller::deployment_changed(const deployment& configuration)
+{
+    this->organisation_limits = limits_of(configuration, this->settings.bounds);
+    this->limits_changed();
+}
+
+void quota_controller::server_limits_changed(std::span<const server_limit> all)
+{
+    this->backend_limits.clear();
+    for (const server_limit& one : all)
+        this->backend_limits[server_account(one.server)] =
+            limit_of_server(one.per_second);
+    this->limits_changed();
+}
+
+void quota_controller::limits_changed()
+{
+    global_limits all = this->organisation_limits;
+    all.insert(this->backend_limits.begin(), this->backend_limits.end());
+    this->has_limits = !all.empty();
+    std::erase_if(
+        this->logged_totals,
+        [&all](const auto& one)
+        {
+            return !all.contains(one.first);
+        });
+    this->accountant.set_limits(all, this->clock.now());
+    this->client.set_limits(std::move(all));
+    this->tick();
+}
+
+void quota_controller::routers_listed(std::span<const router_address> all)
+{
+    this->addresses.clear();
+    for (const router_address& one : all)
+        this->addresses[one.name] = one.address;
+    this->accountant.set_router_count(all.size());
+    this->client.set_accountants(select_accountants(all), all.size());
+    this->tick();
+}
+
+void quota_controller::query_received(
+    const quota_query& query, std::string_view from)
+{
+    this->peers.send(
+        from, this->accountant.handle_query(query, this->clock.now()));
+}
+
+void quota_controller::reply_received(const quota_reply& reply)
+{
+    this->client.handle_reply(reply, this->clock.now());
+    this->flush();
+}
+
+void quota_controller::draw(quota_request request, handler on_decision)
+{
+    asio::post(
+        this->loop,
+        [this,
+         request = std::move(request),
+         on_decision = std::move(on_decision)]
+        {
+            this->process_draw(request, on_decision);
+        });
+}
+
+void quota_controller::process_draw(
+    const quota_request& request, handler on_decision)
+{
+    if (!this->has_limits)
+    {
+        // The limit has been removed since the request arrived.
+        on_decision({0, true, {}, {}});
+        return;
+    }
+    const std::uint64_t id = this->client.draw(
+        request.organisation,
+        request.amount,
+        request.longest_wait,
+        this->clock.now());
+    this->pending_draws.emplace(id, std::move(on_decision));
+    this->flush();
+}
+
+void quota_controller::refund(std::string organisation, double amount)
+{
+    asio::post(
+        this->loop,
+        [this, organisation = std::move(organisation), amount]
+        {
+            this->client.return_tokens(organisation, amount, this->clock.now());
+        });
+}
+
+void quota_controller::flush()
+{
+    for (auto messages = this->client.take_messages(); !messages.empty();
+         messages = this->client.take_messages())
+    {
+        for (const quota_message& message : messages)
+            this->send(message);
+    }
+    for (const quota_decision& decision : this->client.take_decisions())
+        this->deliver(decision);
+    this->schedule_tick();
+}
+
+void quota_controller::send(const quota_message& message)
+{
+    if (message.to == this->settings.router)
+    {
+        const instant now = this->clock.now();
+        this->client.handle_reply(
+            this->accountant.handle_query(message.query, now), now);
+        return;
+    }
+    const auto address = this->addresses.find(message.to);
+    if (address != this->addresses.end())
+        this->peers.send(address->second, message.query);
+}
+
+void quota_controller::deliver(const quota_decision& decision)
+{
+    const auto found = this->pending_draws.find(decision.id);
+    if (found == this->pending_draws.end())
+        return;
+    const handler on_decision = std::move(found->second);
+    this->pending_draws.erase(found);
+    on_decision(decision);
+}
+
+bool quota_controller::has_work() const
+{
+    return this->has_limits || !this->pending_draws.empty();
+}
+
+void quota_controller::schedule_tick()
+{
+    if (this->stopped || !this->has_work())
+        return;
+    const duration wait = this->client.next_tick() - this->clock.now();
+    this->timer.expires_after(std::max(wait, duration::zero()));
+    this->timer.async_wait(
+        [this](const boost::system::error_code& error)
+        {
+            if (!error && !this->stopped)
+                this->tick();
+        });
+}
+
+void quota_controller::tick()
+{
+    const instant now = this->clock.now();
+    if (!this->has_work())
+        return;
+    this->accountant.tick(now);
+    this->client.tick(now);
+    if (now - this->last_log >= log_interval)
+        this->log_usage();
+    this->flush();
+}
+
+void quota_controller::log_usage()
+{
+    this->last_log = this->clock.now();
+    if (this->logged_accountant != this->client.accountant())
+    {
+        this->logged_accountant = this->client.accountant();
+        this->events.report(
+            event_id::accountant_changed,
+            {{"accountant", this->logged_accountant}});
+    }
+    this->log_refused_accounts();
+}
+
+void quota_controller::log_refused_accounts()
+{
+    for (const auto& [name, one] : this->accountant.accounts())
+    {
+        account_totals& before = this->logged_totals[name];
+        if (one.refused > before.refused)
+            this->log_refusals(
+                name,
+                one,
+                one.used - before.used,
+                one.refused - before.refused);
+        before = {one.used, one.refused};
+    }
+}
+
+void quota_controller::log_refusals(
+    std::string_view name,
+    const quota_accountant::account& one,
+    double used,
+    double refused)
+{
+    constexpr double percent = 100;
+    constexpr double seconds_per_minute = 60;
+    const std::int64_t share = to_integer(this->accountant.share() * percent);
+    if (is_server_account(name))
+    {
+        this->events.report(
+            event_id::server_limit_reached,
+            {{"server", server_of_account(name)},
+             {"per_minute",
+              to_integer(one.limit.per_second * seconds_per_minute)},
+             {"used", to_integer(used)},
+             {"refused", to_integer(refused)},
+             {"share_percent", share}});
+        return;
+    }
+    this->events.report(
+        event_id::limit_reached,
+        {{"organisation", name},
+         {"per_second", to_integer(one.limit.per_second)},
+         {"burst", to_integer(one.limit.burst)},
+         {"used", to_integer(used)},
+         {"refused", to_integer(refused)},
+         {"left", to_integer(one.bucket.level())},
+         {"share_percent", share}});
+}
+
+} // namespace roseworks::app
--- /dev/null
+++ b/src/app/gateway/quota_controller.hpp
@@ -0,0 +1,119 @@
+#pragma once
+
+#include "core/pacing/server_limit.hpp"
+#include "core/quota/global_limits.hpp"
+#include "core/quota/quota_accountant.hpp"
+#include "core/quota/quota_client.hpp"
+#include "ports/clock.hpp"
+#include "ports/directory_port.hpp"
+#include "ports/event_sink.hpp"
+#include "ports/gateway_peer_port.hpp"
+#include "ports/quota_port.hpp"
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+
+#include <map>
+#include <memory>
+#include <span>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+namespace roseworks::app
+{
+
+/** Enforces the limits of organisations, and the rate limits that backend
+    servers name, across all routers.
+
+    Quota is granted by a router that acts as the accountant of all. This class
+    asks the accountant on behalf of this router's requests, and is itself the
+    accountant for the routers that ask it.
+
+    Used on the control thread only, except for the functions of the port. Has
+    to outlive the last run of its io_context.
+*/
+class quota_controller final : public quota_port
+{
+public:
+    struct options
+    {
+        std::string router; ///< name of this router
+        quota_bounds bounds;
+        quota_mode way = quota_mode::accountant;
+        std::uint64_t seed = 1;
+    };
+
+    quota_controller(
+        boost::asio::io_context& loop,
+        options settings,
+        const clock_port& clock,
+        event_sink& events,
+        gateway_peer_port& peers);
+
+    void start();
+    void stop();
+
+    void deployment_changed(const deployment& configuration);
+
+    /// @param all The rate limits that backend servers name, in full.
+    void server_limits_changed(std::span<const server_limit> all);
+
+    void routers_listed(std::span<const router_address> all);
+    void query_received(const quota_query& query, std::string_view from);
+    void reply_received(const quota_reply& reply);
+
+    // quota_port
+    void draw(quota_request request, handler on_decision) override;
+    void refund(std::string organisation, double amount) override;
+
+private:
+    void process_draw(const quota_request& request, handler on_decision);
+    /// Sends messages, delivers decisions and sets the timer.
+    void flush();
+    void send(const quota_message& message);
+    void deliver(const quota_decision& decision);
+    void limits_changed();
+    /// @return Whether any account has a limit, or a request still waits for a
+    ///         decision on a limit that has been removed.
+    bool has_work() const;
+    void schedule_tick();
+    void tick();
+    void log_usage();
+    void log_refused_accounts();
+    void log_refusals(
+        std::string_view name,
+        const quota_accountant::account& one,
+        double used,
+        double refused);
+
+    /// Totals of an account at the time of its latest log line.
+    struct account_totals
+    {
+        double used = 0;
+        double refused = 0;
+    };
+
+    boost::asio::io_context& loop;
+    options settings;
+    const clock_port& clock;
+    event_sink& events;
+    gateway_peer_port& peers;
+    quota_accountant accountant;
+    quota_client client;
+    std::map<std::string, std::string, std::less<>> addresses; ///< by name
+    std::unordered_map<std::uint64_t, handler> pending_draws;  ///< by draw id
+    /// Totals at the latest log line, by account.
+    std::map<std::string, account_totals, std::less<>> logged_totals;
+    global_limits organisation_limits;
+    global_limits backend_limits;
+    boost::asio::steady_timer timer;
+    /// Name of the accountant in the latest log line.
+    std::string logged_accountant;
+    instant last_log;        ///< time of the latest log line
+    bool has_limits = false; ///< whether any account has a limit
+    bool stopped = false;
+};
+
+} // namespace roseworks::app
--- a/src/ports/gateway_peer_port.hpp
+++ b/src/ports/gateway_peer_port.hpp
@@ -12,30 +12,32 @@
 namespace roseworks
 {
 
-/// Receives what other routers say, on the thread that runs the port. All of
-/// it is a hint.
+/// Receives messages from other routers, on the thread that runs the port. All
+/// of them are hints.
 class gateway_peer_listener
 {
 public:
     virtual ~gateway_peer_listener() = default;
 
-    virtual void router_word_heard(const router_report& word) = 0;
+    virtual void router_report_received(const router_report& report) = 0;
 
     /// @param from UDP ip:port of the owner.
-    virtual void
-    owner_word_heard(const owner_announcement& word, std::string_view from) = 0;
+    virtual void owner_announcement_received(
+        const owner_announcement& announcement, std::string_view from) = 0;
 
-    virtual void break_word_heard(const connection_loss_report& word) = 0;
-    virtual void directory_word_heard(const directory_update& word) = 0;
+    virtual void
+    connection_loss_received(const connection_loss_report& report) = 0;
+    virtual void directory_update_received(const directory_update& update) = 0;
 
     /// @param from UDP ip:port of the router.
     virtual void
-    quota_ask_heard(const quota_query& ask, std::string_view from) = 0;
-    virtual void quota_answer_heard(const quota_reply& answer) = 0;
-    virtual void server_limit_word_heard(const server_limit_update& word) = 0;
+    quota_query_received(const quota_query& query, std::string_view from) = 0;
+    virtual void quota_reply_received(const quota_reply& reply) = 0;
+    virtual void
+    server_limit_update_received(const server_limit_update& limits) = 0;
 };
 
-/// Port: datagrams between the gateways. Each may be lost.
+/// Port: datagrams between gateways. Delivery isn't guaranteed.
 class gateway_peer_port
 {
 public:
@@ -43,25 +45,26 @@
 
     virtual void start(gateway_peer_listener& listener) = 0;
 
-    virtual void
-    send(std::span<const std::string> addresses, const router_report& word) = 0;
     virtual void send(
         std::span<const std::string> addresses,
-        const owner_announcement& word) = 0;
+        const router_report& report) = 0;
+    virtual void send(
+        std::span<const std::string> addresses,
+        const owner_announcement& announcement) = 0;
     virtual void send(
         std::span<const std::string> addresses,
-        const connection_loss_report& word) = 0;
+        const connection_loss_report& report) = 0;
     virtual void send(
         std::span<const std::string> addresses,
-        const directory_update& word) = 0;
+        const directory_update& update) = 0;
 
     virtual void send(
         std::span<const std::string> addresses,
-        const server_limit_update& word) = 0;
-    virtual void send(std::string_view address, const quota_query& ask) = 0;
-    virtual void send(std::string_view address, const quota_reply& answer) = 0;
+        const server_limit_update& limits) = 0;
+    virtual void send(std::string_view address, const quota_query& query) = 0;
+    virtual void send(std::string_view address, const quota_reply& reply) = 0;
 
-    /// Nothing is called any more.
+    /// Stops receiving. The listener isn't called after this.
     virtual void stop() = 0;
 };
 
--- a/tests/unit/forward/forward_fixture.cpp
+++ b/tests/unit/forward/forward_fixture.cpp
@@ -229,7 +229,7 @@
     on_decision(result);
 }
 
-void fake_quota_port::give_back(std::string, double amount)
+void fake_quota_port::refund(std::string, double amount)
 {
     const std::lock_guard lock(this->mutex);
     this->returned_amount += amount;
--- a/tests/unit/forward/forward_fixture.hpp
+++ b/tests/unit/forward/forward_fixture.hpp
@@ -29,7 +29,7 @@
 {
 public:
     void draw(quota_request request, handler on_decision) override;
-    void give_back(std::string organisation, double amount) override;
+    void refund(std::string organisation, double amount) override;
 
     std::mutex mutex;
     quota_decision decision{0, true, {}, {}};
--- a/tests/unit/gateway/desk_fixture.hpp
+++ b/tests/unit/gateway/placement_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/events/null_event_sink.hpp"
-#include "app/gateway/placement_desk.hpp"
+#include "app/gateway/placement_controller.hpp"
 #include "core/serving/servable_key.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -20,9 +20,9 @@
 
 using namespace std::chrono_literals;
 
-/// Time that a test moves; timers of the loop go by the machine's clock, and
-/// what they call looks at this one.
-class moved_clock final : public clock_port
+/// Clock that a test advances. The timers of the event loop use the system
+/// clock, but their handlers read this one.
+class manual_clock final : public clock_port
 {
 public:
     instant now() const override
@@ -38,13 +38,13 @@
     instant time{100s};
 };
 
-/// Keeps what was asked for until the test answers it.
-class held_commands final : public engine_command_port
+/// Queues orders and report reads until the test completes them.
+class queued_commands final : public engine_command_port
 {
 public:
     struct command
     {
-        engine_command what;
+        engine_command order;
         std::function<bool()> allowed;
         command_done done;
     };
@@ -56,11 +56,11 @@
     };
 
     void send_command(
-        const engine_command& what,
+        const engine_command& order,
         std::function<bool()> allowed,
         command_done done) override
     {
-        this->commands.push_back({what, std::move(allowed), std::move(done)});
+        this->commands.push_back({order, std::move(allowed), std::move(done)});
     }
 
     void read_report(
@@ -75,15 +75,16 @@
     std::deque<report> reports;
 };
 
-/// The desk over engines `e1`, `e2`, ... of a service `llm` with the models
-/// `m0` to `m3`, each of them on the disk of each engine.
-class desk_fixture
+/// A placement controller with the engines `e1`, `e2`, ... of a service `llm`.
+/// Each engine has the models `m0` to `m3` on its disk.
+class placement_fixture
 {
 public:
-    explicit desk_fixture(
+    explicit placement_fixture(
         std::size_t engines = 2,
-        placement_desk::options settings = placement_desk::options())
-        : desk(
+        placement_controller::options settings =
+            placement_controller::options())
+        : controller(
               loop,
               settings,
               "r1",
@@ -96,91 +97,100 @@
                   return std::vector<std::string>{"r1"};
               },
               [this](
-                  const owner_announcement& word, std::span<const std::string>)
+                  const owner_announcement& announcement,
+                  std::span<const std::string>)
               {
-                  this->told.push_back(word);
+                  this->announcements.push_back(announcement);
               })
     {
         this->view.deployment_read(make_deployment());
         for (std::size_t i = 1; i <= engines; ++i)
             this->view.entry_read(make_entry("e" + std::to_string(i)));
-        this->desk.configured(this->view.config());
+        this->controller.deployment_changed(this->view.config());
     }
 
-    /// This router owns placement, and has read what all engines hold.
-    void own(std::uint64_t fence, std::vector<std::string> held = {})
+    /// Makes this router the owner, and answers the first report read of each
+    /// engine.
+    void acquire_ownership(
+        std::uint64_t fence, std::vector<std::string> held_models = {})
     {
-        this->desk.tenure_changed(
+        this->controller.tenure_changed(
             placement_tenure{fence, this->clock.time + 1s});
-        this->answer_reports(std::move(held));
+        this->answer_reports(std::move(held_models));
     }
 
-    /// Answers the first report of each engine.
-    void answer_reports(const std::vector<std::string>& held)
+    /// Answers one report read per engine.
+    void answer_reports(const std::vector<std::string>& held_models)
     {
         for (std::size_t i = this->view.servers().size(); i > 0; --i)
-            this->answer_report(held);
+            this->answer_report(held_models);
     }
 
     void answer_report(
-        const std::vector<std::string>& held, std::uint64_t orders_taken = 0)
+        const std::vector<std::string>& held_models,
+        std::uint64_t orders_taken = 0)
     {
         holdings_report report;
         report.orders_taken = orders_taken;
-        for (const std::string& model : held)
+        for (const std::string& model : held_models)
             report.holdings.resident.push_back({model, {}});
         report.holdings.on_disk = {"m0", "m1", "m2", "m3"};
         this->next_report().done(report);
     }
 
-    void no_report()
+    /// Fails the next report read.
+    void fail_report()
     {
         this->next_report().done(std::nullopt);
     }
 
-    /// Requests wait here for a model.
-    void need(const std::string& model)
+    /// Reports that requests wait for a model on this router.
+    void report_demand(const std::string& model)
     {
-        router_report word = this->make_word();
-        word.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
-        this->desk.word_heard(word);
+        router_report message = this->make_router_report();
+        message.needs = {{servable_key("llm", model), 1, 2'000'000, 9'000'000}};
+        this->controller.handle_router_report(message);
     }
 
-    void unreached(const std::string& engine)
+    /// Reports that this router couldn't reach an engine.
+    void report_unreachable(const std::string& engine)
     {
-        router_report word = this->make_word();
-        word.unreachable_engines = {engine};
-        this->desk.word_heard(word);
+        router_report message = this->make_router_report();
+        message.unreachable_engines = {engine};
+        this->controller.handle_router_report(message);
     }
 
-    /// Runs the loop until an order was sent.
-    held_commands::command next_command()
+    /// Runs the event loop until an order is sent.
+    queued_commands::command next_command()
     {
         this->run_until(
             [this]
             {
                 return !this->commands.commands.empty();
             });
-        held_commands::command next =
+        queued_commands::command next =
             std::move(this->commands.commands.front());
         this->commands.commands.pop_front();
         return next;
     }
 
-    held_commands::report next_report()
+    /// Runs the event loop until a report read is requested.
+    queued_commands::report next_report()
     {
         this->run_until(
             [this]
             {
                 return !this->commands.reports.empty();
             });
-        held_commands::report next = std::move(this->commands.reports.front());
+        queued_commands::report next =
+            std::move(this->commands.reports.front());
         this->commands.reports.pop_front();
         return next;
     }
 
-    /// Handles so many events of the loop, each a timer of the desk.
-    void run_events(int count)
+    /// Runs the given number of handlers of the event loop, each of them a
+    /// timer of the controller.
+    void run_handlers(int count)
     {
         for (; count > 0; --count)
             this->loop.run_one();
@@ -191,13 +201,13 @@
         return this->commands.commands.size();
     }
 
-    moved_clock clock;
+    manual_clock clock;
     events::null_event_sink sink;
-    held_commands commands;
+    queued_commands commands;
     serving_view view{serving_view::options()};
     boost::asio::io_context loop;
-    std::vector<owner_announcement> told;
-    placement_desk desk;
+    std::vector<owner_announcement> announcements;
+    placement_controller controller;
 
 private:
     void run_until(const std::function<bool()>& reached)
@@ -210,12 +220,12 @@
         }
     }
 
-    router_report make_word()
+    router_report make_router_report()
     {
-        router_report word;
-        word.router = "r1";
-        word.sequence = ++this->sequence;
-        return word;
+        router_report message;
+        message.router = "r1";
+        message.sequence = ++this->sequence;
+        return message;
     }
 
     static std::shared_ptr<const deployment> make_deployment()
--- a/tests/unit/gateway/test_quota_desk.cpp
+++ b/tests/unit/gateway/test_quota_controller.cpp
@@ -1,6 +1,6 @@
 #include "adapters/events/null_event_sink.hpp"
 #include "adapters/platform/system_clock.hpp"
-#include "app/gateway/quota_desk.hpp"
+#include "app/gateway/quota_controller.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -19,8 +19,8 @@
 namespace
 {
 
-/// Hands words on to the desk at their address, at once.
-class joined_peers final : public gateway_peer_port
+/// Delivers quota messages to the router at their address, synchronously.
+class direct_peers final : public gateway_peer_port
 {
 public:
     void start(gateway_peer_listener&) override {}
@@ -38,22 +38,22 @@
     }
     void stop() override {}
 
-    void send(std::string_view address, const quota_query& ask) override
+    void send(std::string_view address, const quota_query& query) override
     {
-        ++this->asks;
+        ++this->queries;
         if (address == "strong:1" && this->strong != nullptr)
-            this->strong->ask_heard(ask, "weak:1");
+            this->strong->query_received(query, "weak:1");
     }
 
-    void send(std::string_view address, const quota_reply& answer) override
+    void send(std::string_view address, const quota_reply& reply) override
     {
         if (address == "weak:1" && this->weak != nullptr)
-            this->weak->answer_heard(answer);
+            this->weak->reply_received(reply);
     }
 
-    quota_desk* strong = nullptr;
-    quota_desk* weak = nullptr;
-    int asks = 0;
+    quota_controller* strong = nullptr;
+    quota_controller* weak = nullptr;
+    int queries = 0;
 };
 
 deployment make_deployment(double per_second)
@@ -67,10 +67,10 @@
     return made;
 }
 
-/// A strong and a weak router on one event loop.
-struct two_desks
+/// Two routers, one on a VM of high and one of low capacity, on one event loop.
+struct two_routers
 {
-    two_desks()
+    two_routers()
         : strong(
               this->loop,
               {.router = "strong"},
@@ -88,35 +88,36 @@
         this->peers.weak = &this->weak;
         const router_address all[] = {
             {"strong", "strong:1", 2}, {"weak", "weak:1", 0.5}};
-        for (quota_desk* desk : {&this->strong, &this->weak})
+        for (quota_controller* controller : {&this->strong, &this->weak})
         {
-            desk->start();
-            desk->routers_listed(all);
+            controller->start();
+            controller->routers_listed(all);
         }
     }
 
     void configure(double per_second)
     {
-        this->strong.configured(make_deployment(per_second));
-        this->weak.configured(make_deployment(per_second));
+        this->strong.deployment_changed(make_deployment(per_second));
+        this->weak.deployment_changed(make_deployment(per_second));
     }
 
-    /// Draws until one is decided as wished.
+    /// Draws quota until a draw is allowed or refused, as given.
+    /// @return Whether that happened before the time limit.
     bool draws_until(bool allowed)
     {
         const auto limit = std::chrono::steady_clock::now() + 20s;
         while (std::chrono::steady_clock::now() < limit)
         {
-            std::optional<quota_decision> made;
+            std::optional<quota_decision> decision;
             this->weak.draw(
                 {"o1", 100, 0ms},
-                [&made](const quota_decision& decided)
+                [&decision](const quota_decision& received)
                 {
-                    made = decided;
+                    decision = received;
                 });
-            while (!made && std::chrono::steady_clock::now() < limit)
+            while (!decision && std::chrono::steady_clock::now() < limit)
                 this->loop.run_one_for(10ms);
-            if (made && made->is_allowed == allowed)
+            if (decision && decision->is_allowed == allowed)
                 return true;
         }
         return false;
@@ -125,58 +126,59 @@
     boost::asio::io_context loop;
     platform::system_clock clock;
     events::null_event_sink events;
-    joined_peers peers;
-    quota_desk strong;
-    quota_desk weak;
+    direct_peers peers;
+    quota_controller strong;
+    quota_controller weak;
 };
 
 } // namespace
 
-Test(quota_desk, a_weak_router_draws_from_the_strong_one)
+Test(quota_controller, the_router_of_low_capacity_asks_the_other_one)
 {
-    two_desks test;
+    two_routers test;
     test.configure(1e6);
     cr_assert(test.draws_until(true));
-    cr_assert_gt(test.peers.asks, 0);
+    cr_assert_gt(test.peers.queries, 0);
 }
 
-Test(quota_desk, what_is_over_the_limit_is_refused)
+Test(quota_controller, refuses_draws_over_the_limit)
 {
-    two_desks test;
+    two_routers test;
     test.configure(1e3);
     cr_assert(test.draws_until(true));
     cr_assert(test.draws_until(false));
 }
 
-Test(quota_desk, says_nothing_while_nobody_has_a_limit)
+Test(quota_controller, sends_nothing_while_there_is_no_limit)
 {
-    two_desks test;
+    two_routers test;
     test.configure(0);
     for (int i = 0; i < 20; ++i)
         test.loop.run_one_for(5ms);
-    cr_assert_eq(test.peers.asks, 0);
+    cr_assert_eq(test.peers.queries, 0);
 }
 
-Test(quota_desk, a_request_that_waits_is_told_though_its_limit_goes)
+Test(quota_controller, a_waiting_request_is_allowed_when_its_limit_is_removed)
 {
-    two_desks test;
+    two_routers test;
     test.configure(1e6);
     cr_assert(test.draws_until(true));
-    // Nobody answers any more, and the limit goes while a draw is open.
+    // The accountant stops answering, and the limit is removed while a draw is
+    // pending.
     test.peers.strong = nullptr;
-    std::optional<quota_decision> made;
+    std::optional<quota_decision> decision;
     test.weak.draw(
         {"o1", 100, 0ms},
-        [&made](const quota_decision& decided)
+        [&decision](const quota_decision& received)
         {
-            made = decided;
+            decision = received;
         });
     test.loop.run_one_for(10ms);
     test.configure(0);
     const auto limit = std::chrono::steady_clock::now() + 20s;
-    while (!made && std::chrono::steady_clock::now() < limit)
+    while (!decision && std::chrono::steady_clock::now() < limit)
         test.loop.run_one_for(10ms);
-    cr_assert(made.has_value());
-    cr_assert(made->is_allowed);
+    cr_assert(decision.has_value());
+    cr_assert(decision->is_allowed);
     cr_assert(test.draws_until(true));
 }
--- a/tests/unit/log_client/http_log_client_test.cpp
+++ b/tests/unit/log_client/http_log_client_test.cpp
@@ -62,7 +62,7 @@
         this->end = next;
     }
 
-    void log_kept(log_offset first) override
+    void oldest_offset_read(log_offset first) override
     {
         this->kept = first;
     }
@@ -387,7 +387,7 @@
 {
     paced_log_fixture fixture;
     cr_assert(fixture.wait_until_read(2));
-    fixture.client.hurry();
+    fixture.client.expedite_reads();
     cr_expect(fixture.wait_until_read(10));
 }
 
--- a/tests/unit/peers/peers_test.cpp
+++ b/tests/unit/peers/peers_test.cpp
@@ -63,12 +63,12 @@
 class recording_listener : public peer_listener
 {
 public:
-    void visit_heard(const caller_visit& visit) override
+    void visit_received(const caller_visit& visit) override
     {
         this->visits.push_back(visit);
     }
 
-    void demand_heard(const servable_demand& demand) override
+    void demand_received(const servable_demand& demand) override
     {
         this->demands.push_back(demand);
     }
--- a/tests/unit/users_platform/test_directory_copies.cpp
+++ b/tests/unit/users_platform/test_directory_copies.cpp
@@ -149,7 +149,7 @@
         this->version = read->version;
     }
 
-    void deployment_behind(bool behind) override
+    void deployment_staleness_changed(bool behind) override
     {
         this->behind.push_back(behind);
     }
@@ -162,11 +162,11 @@
     void server_removed(std::string_view) override {}
     void routers_listed(std::vector<router_address>) override {}
     void tenure_changed(std::optional<placement_tenure>) override {}
-    void ownership_left() override {}
+    void ownership_ended() override {}
     void term_ended() override {}
-    void directory_lost() override {}
-    void directory_back() override {}
-    void registry_back() override {}
+    void store_unreachable() override {}
+    void store_reachable() override {}
+    void store_recovery_reported() override {}
     void store_read(const directory_update&) override {}
 
     std::uint64_t version = 0;
@@ -207,7 +207,7 @@
               this->copies)
     {
         this->directory.start(this->listener);
-        this->directory.owner_heard(true);
+        this->directory.set_owner_known(true);
     }
 
     ~directory_fixture()
@@ -269,7 +269,7 @@
     test.copies.version = 8;
     directory_update update;
     update.deployment = {6, 10};
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     test.run_until(
         [&]
         {
@@ -298,7 +298,7 @@
     update.deployment = {6, 10};
     update.registry = {8, 10};
     update.registry_from = 7;
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     test.run_until(
         [&]
         {
@@ -347,7 +347,7 @@
     const std::size_t requested = test.copies.requested.size();
     directory_update update;
     update.deployment = {6, 10};
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     test.run_until(
         [&]
         {
@@ -377,7 +377,7 @@
     directory_update update;
     update.deployment = {6, 10};
     test.copies.provides = false;
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     test.run_until(
         [&]
         {
--- a/tests/unit/users_platform/test_directory_updates.cpp
+++ b/tests/unit/users_platform/test_directory_updates.cpp
@@ -30,7 +30,7 @@
 public:
     void deployment_read(std::shared_ptr<const deployment>) override {}
 
-    void deployment_behind(bool) override {}
+    void deployment_staleness_changed(bool) override {}
     void servers_listed(std::vector<server_entry>) override
     {
         this->listed = true;
@@ -52,12 +52,12 @@
     }
 
     void tenure_changed(std::optional<placement_tenure>) override {}
-    void ownership_left() override {}
+    void ownership_ended() override {}
     void term_ended() override {}
-    void directory_lost() override {}
-    void directory_back() override {}
+    void store_unreachable() override {}
+    void store_reachable() override {}
 
-    void registry_back() override
+    void store_recovery_reported() override
     {
         ++this->recoveries;
     }
@@ -95,7 +95,7 @@
             encode_router(
                 {{"edge-2", "10.0.0.2:1", others_capacity}, false, 1}));
         this->directory.start(this->listener);
-        this->directory.owner_heard(true);
+        this->directory.set_owner_known(true);
         while (!this->listener.listed)
             this->loop.run_one();
     }
@@ -157,7 +157,7 @@
     directory_fixture test;
     directory_update update = make_update(1, 10);
     update.changes = {make_change(3, "e1", false), make_change(4, "e2", true)};
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     cr_assert_eq(test.listener.read.size(), 1);
     cr_assert_eq(test.listener.read[0].id, "e1");
     cr_assert_eq(test.listener.read[0].registry_revision, 3);
@@ -172,11 +172,11 @@
     directory_fixture test;
     directory_update update = make_update(1, 5);
     update.changes = {make_change(2, "e1", true)};
-    test.directory.word_heard(update);
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
+    test.directory.apply_peer_update(update);
     update = make_update(1, 9);
     update.changes = {make_change(2, "e1", true), make_change(7, "e1", false)};
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     cr_assert_eq(test.listener.removed.size(), 1);
     cr_assert_eq(test.listener.read.size(), 1);
 }
@@ -187,7 +187,7 @@
     const int before = test.store.reads();
     directory_update update = make_update(8, 9);
     update.changes = {make_change(8, "e1", false)};
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     cr_assert(test.listener.read.empty());
     while (test.store.reads() == before)
         test.loop.run_one();
@@ -201,10 +201,10 @@
     directory_fixture test;
     directory_update update = make_update(1, 2);
     update.outage_ended_us_ago = 1000;
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     update = make_update(2, 3);
     update.outage_ended_us_ago = 400'000;
-    test.directory.word_heard(update);
+    test.directory.apply_peer_update(update);
     cr_assert_eq(test.listener.recoveries, 1);
 }
 
--- a/tests/unit/users_platform/test_gateway_peers.cpp
+++ b/tests/unit/users_platform/test_gateway_peers.cpp
@@ -21,38 +21,39 @@
 class recording_listener final : public gateway_peer_listener
 {
 public:
-    void router_word_heard(const router_report& update) override
+    void router_report_received(const router_report& update) override
     {
         this->routers.push_back(update);
     }
 
-    void owner_word_heard(
+    void owner_announcement_received(
         const owner_announcement& update, std::string_view) override
     {
         this->owners.push_back(update);
     }
 
-    void break_word_heard(const connection_loss_report& update) override
+    void connection_loss_received(const connection_loss_report& update) override
     {
         this->breaks.push_back(update);
     }
 
-    void directory_word_heard(const directory_update& update) override
+    void directory_update_received(const directory_update& update) override
     {
         this->directories.push_back(update);
     }
 
-    void quota_ask_heard(const quota_query& ask, std::string_view) override
+    void quota_query_received(const quota_query& ask, std::string_view) override
     {
         this->asks.push_back(ask);
     }
 
-    void quota_answer_heard(const quota_reply& answer) override
+    void quota_reply_received(const quota_reply& answer) override
     {
         this->answers.push_back(answer);
     }
 
-    void server_limit_word_heard(const server_limit_update& update) override
+    void
+    server_limit_update_received(const server_limit_update& update) override
     {
         this->limits.push_back(update);
     }
--- a/tests/unit/users_platform/test_router_registration.cpp
+++ b/tests/unit/users_platform/test_router_registration.cpp
@@ -86,15 +86,15 @@
     }
 
     void deployment_read(std::shared_ptr<const deployment>) override {}
-    void deployment_behind(bool) override {}
+    void deployment_staleness_changed(bool) override {}
     void servers_listed(std::vector<server_entry>) override {}
     void server_read(server_entry) override {}
     void server_removed(std::string_view) override {}
     void routers_listed(std::vector<router_address>) override {}
-    void ownership_left() override {}
-    void directory_lost() override {}
-    void directory_back() override {}
-    void registry_back() override {}
+    void ownership_ended() override {}
+    void store_unreachable() override {}
+    void store_reachable() override {}
+    void store_recovery_reported() override {}
     void store_read(const directory_update&) override {}
 
     void tenure_changed(std::optional<placement_tenure> tenure) override
@@ -136,7 +136,7 @@
         loop, options_for(store, lease), clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     loop.run();
     directory.stop();
     cr_assert(listener.last_tenure.has_value());
@@ -257,8 +257,8 @@
     directory.start(listener);
     while (store.reads() < 6)
     {
-        directory.owner_heard(true);
-        directory.owner_heard(false);
+        directory.set_owner_known(true);
+        directory.set_owner_known(false);
         loop.run_one();
     }
     directory.stop();
@@ -287,7 +287,7 @@
         copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(true);
+    directory.set_owner_known(true);
     while (store.reads() < 6)
         loop.run_one();
     directory.stop();
@@ -314,7 +314,7 @@
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     while (!listener.ended)
     {
         loop.run();
@@ -339,11 +339,11 @@
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     loop.run();
     loop.restart();
-    directory.another_owns(listener.last_tenure->fence + 1);
-    directory.owner_heard(true);
+    directory.other_owner_detected(listener.last_tenure->fence + 1);
+    directory.set_owner_known(true);
     const int seen = store.reads();
     while (store.reads() < seen + 6)
         loop.run_one();
@@ -372,7 +372,7 @@
     store_directory directory(loop, settings, clock, sink, meter, copies);
     tenure_listener listener(loop);
     directory.start(listener);
-    directory.owner_heard(false);
+    directory.set_owner_known(false);
     const auto run_on = [&](auto reached)
     {
         while (!reached())
