--- a/src/adapters/log/http_log_client.hpp
+++ b/src/adapters/log/http_log_client.hpp
@@ -50,7 +50,7 @@
         /// Number of reads of a burst that aren't delayed. The allowance grows
         /// by one read per interval.
         int burst_reads = 16;
-        /// For how long reads aren't delayed after a call of `hurry`.
+        /// For how long reads aren't delayed after a call of `expedite_reads`.
         std::chrono::milliseconds urgent_period{2000};
         /// Interval between two reads of the oldest offset that is kept.
         std::chrono::milliseconds retention_check_interval{60000};
--- a/src/app/gateway/serving_table_publisher.cpp
+++ b/src/app/gateway/serving_table_publisher.cpp
@@ -128,7 +128,7 @@
 
 void serving_table_publisher::residency_announced(engine_residency residency)
 {
-    if (this->deployment_view.residency_heard(
+    if (this->deployment_view.update_residency(
             std::move(residency), this->clock.now()))
         this->schedule_publish();
 }
@@ -136,21 +136,22 @@
 void serving_table_publisher::forecast_announced(
     const std::string& model, instant ready)
 {
-    if (this->deployment_view.outlook_heard(model, ready, this->clock.now()))
+    if (this->deployment_view.update_expected_load(
+            model, ready, this->clock.now()))
         this->schedule_publish();
 }
 
 void serving_table_publisher::servable_refused(
     std::string_view engine, std::string_view servable)
 {
-    if (this->deployment_view.contradicted(engine, servable, this->clock.now()))
+    if (this->deployment_view.mark_refused(engine, servable, this->clock.now()))
         this->publish();
 }
 
 bool serving_table_publisher::server_unreachable(std::string_view server)
 {
     const instant now = this->clock.now();
-    const auto retry_at = this->deployment_view.unreached(server, now);
+    const auto retry_at = this->deployment_view.mark_unreachable(server, now);
     if (!retry_at)
         return false;
     this->events.report(
