--- a/docs/embedding/example.cpp
+++ b/docs/embedding/example.cpp
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-/// Two routers decide one replica over a log in memory, without the daemon,
+/// Two routers decide one replica over an in-memory log, without the daemon,
 /// sockets, threads or clocks. See docs/embedding/README.md.
 
 namespace
@@ -30,7 +30,8 @@
 constexpr duration load_time = 2s;
 constexpr stamp_ms wall_start = 1'700'000'000'000;
 
-/// The log: whatever gives all routers the same entries in the same order.
+/// An in-memory log. Any log works that gives all routers the same entries in
+/// the same order.
 class memory_log
 {
 public:
@@ -40,7 +41,7 @@
             {log_offset(this->entries.size() + 1), std::move(bytes)});
     }
 
-    /// @return What stands behind an offset.
+    /// @return The entries after an offset.
     std::span<const log_entry> after(log_offset offset) const
     {
         return std::span(this->entries).subspan(offset.value);
@@ -55,7 +56,7 @@
     std::vector<log_entry> entries;
 };
 
-/// A model engine that loads what it is ordered to.
+/// A simulated model engine. Accepts every order whose fence isn't stale.
 class memory_engine
 {
 public:
@@ -97,9 +98,9 @@
     instant ready_at{};
 };
 
-/// One router: the core's controller and the embedder's way to carry out its
-/// commands. What is answered at once here may come much later in a program of
-/// yours, or not at all.
+/// One router: the core's controller, and the embedding program's execution of
+/// its commands. Answers that are immediate here may arrive much later in a
+/// real program, or not at all.
 class embedded_router
 {
 public:
@@ -118,7 +119,7 @@
         this->carry_out_all(now);
     }
 
-    /// Reads the log, tells the controller the time, does what it says.
+    /// Reads the log, advances the controller's time and executes its commands.
     void step(instant now)
     {
         this->read_log(now);
@@ -126,7 +127,7 @@
         this->carry_out_all(now);
     }
 
-    /// Requests for the model wait here.
+    /// Reports to the controller that a request for the model is waiting.
     void demand(const std::string& model, instant now)
     {
         servable_demand what;
@@ -136,7 +137,7 @@
         this->carry_out_all(now);
     }
 
-    /// A hint of who lives, as membership gives it.
+    /// Passes on which sessions are alive. A hint; normally from `membership`.
     void peers(std::span<const session_id> alive, instant now)
     {
         this->control.peers_changed(alive, now);
@@ -152,14 +153,14 @@
         return this->control.state();
     }
 
-    /// @return Where requests of the model can go now; null when it is unknown.
+    /// @return The current routes of the model; null if it is unknown.
     const servable_routes* routes(const std::string& model)
     {
         this->table = this->builder.table();
         return this->table->find_servable(model);
     }
 
-    /// Demands for the other router, as UDP would carry them.
+    /// Demands to send to the other router; a real program sends them over UDP.
     std::vector<forward_demand> forwarded;
 
 private:
@@ -183,7 +184,7 @@
     void read_log(instant now)
     {
         const log_offset folded = this->control.state().folded();
-        // One by one, so that the routing table takes over just the changes.
+        // One entry at a time: `update` applies the changes of one `apply`.
         for (const log_entry& entry : this->log.after(folded))
         {
             this->control.log_read(
@@ -217,7 +218,7 @@
 
     void carry_out(const engine_order& order, instant now)
     {
-        // Asked right before the bytes leave: the lease may have lapsed.
+        // Checked right before sending, since the lease may have expired.
         const order_outcome outcome = this->control.may_send(order, now)
                                           ? this->engine.order(order, now)
                                           : order_outcome::not_sent;
@@ -234,7 +235,7 @@
         this->forwarded.push_back(what);
     }
 
-    /// A hint for `gap_cost_preload`, which this fleet doesn't go by.
+    /// A hint for `gap_cost_preload`, which this example doesn't use.
     void carry_out(const forward_visit&, instant) {}
 
     void carry_out(const folded_record& folded, instant)
@@ -247,10 +248,10 @@
                   << (accepted ? "decided" : "not decided") << '\n';
     }
 
-    // A program that serves requests hands the new table to its dispatcher.
+    // A program that serves requests passes the new table to its dispatcher.
     void carry_out(const publish_table&, instant) {}
 
-    // Nothing here claims keys, leaves, or writes checkpoints.
+    // This example doesn't claim keys, leave or write checkpoints.
     void carry_out(const claim_result&, instant) {}
 
     void carry_out(const left&, instant) {}
@@ -267,7 +268,9 @@
     routing_table_ptr table;
 };
 
-/// An operator's change: an engine, and a model with one replica at most.
+/// @return An operator's change that declares an engine and a model with at
+/// most
+///         one replica.
 std::vector<std::byte> operators_record()
 {
     engine_spec engine;
@@ -297,7 +300,7 @@
     return encode(value);
 }
 
-/// Hands demands to the router that they are for.
+/// Delivers forwarded demands to the router to which they are addressed.
 void deliver(embedded_router& from, embedded_router& to, instant now)
 {
     for (const forward_demand& what : std::exchange(from.forwarded, {}))
@@ -307,7 +310,8 @@
     }
 }
 
-/// @return Whether both routers hold the same state and route to one replica.
+/// @return Whether both routers have the same state and a route to the same
+///         replica.
 bool agree(embedded_router& left, embedded_router& right)
 {
     const servable_routes* here = left.routes("tea");
--- a/include/roseworks/checkpoint.hpp
+++ b/include/roseworks/checkpoint.hpp
@@ -16,7 +16,7 @@
 namespace roseworks
 {
 
-/// A snapshot of the folded state, as written to the log in chunks.
+/// A snapshot of the folded state. It is written to the log in chunks.
 struct checkpoint
 {
     log_offset at; ///< state after folding this offset
@@ -24,7 +24,8 @@
     std::vector<std::byte> bytes;
 };
 
-/// LEAF error object: a checkpoint that isn't what it says it is.
+/// LEAF error object: a checkpoint's content doesn't match its stated offset or
+/// hash.
 struct checkpoint_error
 {
     std::string what;
@@ -37,10 +38,10 @@
 */
 checkpoint take_checkpoint(const fleet_state& state);
 
-/** Cut a checkpoint into records' payloads.
+/** Split a checkpoint into record payloads.
 
     @param whole       The checkpoint.
-    @param chunk_bytes Most data bytes in a chunk; at least 1.
+    @param chunk_bytes Maximum data bytes in a chunk; at least 1.
     @return            At least one chunk.
 */
 std::vector<checkpoint_chunk>
@@ -49,16 +50,17 @@
 /** Rebuild the state of a checkpoint.
 
     @param whole A complete checkpoint; may be damaged.
-    @return      The state, or a `codec_error` or `checkpoint_error` when the
-                 bytes don't give the stated offset and hash.
+    @return      The state; a `codec_error` if the bytes can't be decoded, or a
+                 `checkpoint_error` if the state doesn't have the stated offset
+                 and hash.
 */
 boost::leaf::result<fleet_state> restore_checkpoint(const checkpoint& whole);
 
-/** Puts chunks read from the log together.
+/** Assembles checkpoints from the chunks read from the log.
 
-    Keeps the newest few checkpoints under way and gives each complete one out
-    once. Chunks that contradict each other are never mixed: a set is named by
-    its offset, hash and count. Holds at most `max_bytes` of data.
+    Holds at most `max_bytes` of data; the newest incomplete checkpoints are
+    kept. Each complete checkpoint is returned once. Chunks of different sets
+    are never combined: offset, hash and count identify a set.
 */
 class checkpoint_assembler
 {
@@ -68,8 +70,8 @@
 
     /** Add a chunk.
 
-        @param part What was read; may be hostile or seen before.
-        @return     The checkpoint that it completes.
+        @param part The chunk as read; untrusted, may be a duplicate.
+        @return     The checkpoint that the chunk completes, if any.
     */
     std::optional<checkpoint> add(const checkpoint_chunk& part);
 
--- a/include/roseworks/controller.hpp
+++ b/include/roseworks/controller.hpp
@@ -26,32 +26,34 @@
     std::vector<std::byte> bytes;
 };
 
-/// A batch of records for one append; the number names it in the answer.
+/// A batch of records for one append. `batch` identifies it in
+/// `append_answered`.
 struct append_batch
 {
     std::uint64_t batch = 0;
     std::vector<std::vector<std::byte>> entries;
 };
 
-/// What became of an append.
+/// Outcome of an append.
 enum class append_outcome : std::uint8_t
 {
     done,
-    refused, ///< the log said no: nothing was appended
-    unknown  ///< no answer: it may have been appended; sent again
+    refused, ///< rejected by the log: nothing was appended
+    unknown  ///< no answer: may have been appended; retried
 };
 
-/// An order to load or unload.
+/// What an order asks an engine to do.
 enum class order_action : std::uint8_t
 {
     load,
     unload
 };
 
+/// An order to an engine to load or unload a replica.
 struct engine_order
 {
-    std::uint64_t order = 0; ///< names it in the answer
-    std::string order_id;    ///< idempotency id on the engine
+    std::uint64_t order = 0; ///< identifies the order in `order_answered`
+    std::string order_id;    ///< idempotency key on the engine
     engine_id engine;
     std::string address;
     bool checks_credential = false;
@@ -63,22 +65,23 @@
     std::string version;
     std::string base;
     std::uint32_t memory_mib = 0;
-    bool granted = false; ///< under a standing grant's term, not the lease's
+    /// Bounded by a standing grant's term, not by the lease's.
+    bool granted = false;
 };
 
-/// What became of an order.
+/// Outcome of an order.
 enum class order_outcome : std::uint8_t
 {
     accepted,
     stale_fence,
     out_of_memory,
-    not_found, ///< unload of a replica that isn't there
-    refused,   ///< any other refusal: nothing was done
-    not_sent,  ///< no byte left
-    unknown    ///< no answer: read the engine's state
+    not_found, ///< the replica to unload isn't on the engine
+    refused,   ///< refused for another reason: nothing was done
+    not_sent,  ///< no byte was sent
+    unknown    ///< no answer: the engine's state must be read
 };
 
-/// Read an engine's state.
+/// Asks for a read of an engine's state.
 struct read_engine
 {
     engine_id engine;
@@ -92,12 +95,12 @@
     replica_state state = replica_state::loading;
     std::string servable;
     std::uint32_t memory_mib = 0;
-    std::uint32_t running = 0; ///< requests running on it
-    std::uint64_t served = 0;  ///< requests started on it since its load
+    std::uint32_t running = 0; ///< requests in progress
+    std::uint64_t served = 0;  ///< requests started since it was loaded
     std::string version;       ///< empty: not reported
 };
 
-/// An engine's own report. A hint: it lags.
+/// An engine's report of its own state. A hint: it may be out of date.
 struct engine_report
 {
     engine_id engine;
@@ -111,7 +114,7 @@
     std::vector<std::string> cached_on_disk;
 };
 
-/// One VM of the platform's list. A hint: it lags.
+/// One VM of the platform's VM list. A hint: it may be out of date.
 struct vm_entry
 {
     std::string vm;
@@ -121,7 +124,7 @@
     bool leaving = false;
 };
 
-/// A servable wanted by this router or, as heard over UDP, by another.
+/// Demand for a servable, of this router or received from another over UDP.
 struct servable_demand
 {
     servable_id servable;
@@ -130,7 +133,7 @@
     session_id from; ///< 0: this router
 };
 
-/// Send this router's demand to the proposer of the servable.
+/// Sends this router's demand to the proposer of the servable.
 struct forward_demand
 {
     session_id to;
@@ -138,22 +141,22 @@
     servable_demand what;
 };
 
-/// A call that wants its idempotency key.
+/// Request of a call to claim its idempotency key.
 struct claim_request
 {
     claim_key key;
     claim_content content = 0;
-    stamp_ms issued = 0; ///< caller's clock when it made the key; 0: untold
+    stamp_ms issued = 0; ///< caller's clock when it created the key; 0: unknown
 };
 
-/// A caller's use of a servable at another router.
+/// A caller's use of a servable, reported to another router.
 struct caller_visit
 {
     servable_id servable;
-    std::uint32_t caller = 0; ///< the number given to `controller::used`
+    std::uint32_t caller = 0; ///< as passed to `controller::used`
 };
 
-/// Tell the proposer of the servable of a caller's visit.
+/// Reports a caller's use of a servable to the proposer of the servable.
 struct forward_visit
 {
     session_id to;
@@ -161,7 +164,7 @@
     caller_visit what;
 };
 
-/// Result of a claim that this router asked for.
+/// Result of a claim that this router requested.
 struct claim_result
 {
     claim_key key;
@@ -169,11 +172,12 @@
     {
         granted,
         held,       ///< another call holds the key
-        expired,    ///< the key may be older than what is remembered
-        unavailable ///< the log can't decide now; nothing was claimed
+        expired,    ///< the key may be older than the retained claims
+        unavailable ///< the log can't be used now; nothing was claimed
     };
     status result = status::granted;
-    claim_outcome outcome = claim_outcome::open; ///< of the holder's call
+    /// Of the call that holds the key.
+    claim_outcome outcome = claim_outcome::open;
     std::uint16_t http_status = 0;
     std::string body;
     claim_content content = 0; ///< of the call that holds the key; 0: unknown
@@ -187,41 +191,41 @@
     fold_result result;
 };
 
-/// The decided state changed: publish a new routing table.
+/// The decided state changed; a new routing table has to be published.
 struct publish_table
 {
 };
 
-/// This router has said it leaves and its leave record is folded; or it has
-/// given up on that, and its session stays unproven until somebody proves the
-/// process gone.
+/// Leaving has ended. Either this router's leave record is folded, or the
+/// attempt timed out; then the session stays open until the process is proven
+/// gone.
 struct left
 {
     bool clean = true; ///< whether the leave record is folded
 };
 
-/// A complete checkpoint in the log disagrees with this router's own fold.
-/// Never adopted: an operator has to look.
+/// A complete checkpoint in the log differs from this router's own state. Such
+/// a checkpoint is never adopted; an operator has to investigate.
 struct divergence_alarm
 {
     log_offset at;
     std::uint64_t own_hash = 0;
     std::uint64_t logged_hash = 0;
-    author_id author; ///< who wrote the checkpoint
+    author_id author; ///< author of the checkpoint
 };
 
-/// An entry of the log is no record that this program reads; it was skipped,
-/// as every router skips it.
+/// A log entry could not be decoded and was skipped. Every router skips it.
 struct entry_skipped
 {
     log_offset offset;
     std::size_t bytes = 0;
 };
 
-/// What standing grants serve or may serve now; replaces what was told before.
+/// The models that standing grants serve or may serve now. Replaces the list of
+/// the previous command.
 struct grants_seen
 {
-    std::vector<grant_hint> hints; ///< by servable, one for each
+    std::vector<grant_hint> hints; ///< sorted by servable, one for each
 };
 
 using control_command = std::variant<
@@ -241,23 +245,24 @@
 /// The standing grants that this router opens on engines whose lease it holds.
 struct grant_options
 {
-    std::uint32_t memory_mib = 0; ///< of one grant; 0: none is opened
-    std::uint32_t engines = 1;    ///< grants of the whole deployment
-    std::uint16_t loads = 1;      ///< weight-store slots that a grant keeps
-    std::size_t models = 128;     ///< named in one grant
+    std::uint32_t memory_mib = 0; ///< of one grant; 0: no grant is opened
+    std::uint32_t engines = 1;    ///< number of grants in the whole deployment
+    std::uint16_t loads = 1;      ///< weight-store slots reserved by a grant
+    std::size_t models = 128;     ///< maximum number in one grant
     duration term = std::chrono::minutes(30);
 };
 
-/** Drives one router's part in the fleet: a deterministic state machine.
+/** Control logic of one router, as a deterministic state machine.
 
     Folds the log, keeps this router's session and engine leases, proposes
     replicas for demand, orders engines to load and unload, reconciles lost
-    answers, claims idempotency keys, writes checkpoints, and stops ordering
-    when its leases lapse. All effects leave as commands.
+    answers, claims idempotency keys, writes checkpoints, and stops sending
+    orders when its leases expire. All effects are returned as commands.
 
-    Lease arithmetic: a lease counts from just before its renewal was handed
-    out as an append; orders stop `margin` before its end. A taker counts the
-    full term plus margin from when it read the last renewal.
+    Lease timing: the holder measures the term from just before it returned the
+    renewal as an append command, and stops sending orders `lease_margin` before
+    the end. A router that takes over the lease waits for the full term plus the
+    margin, measured from when it read the last renewal.
 */
 class controller
 {
@@ -272,33 +277,39 @@
         duration lease_term = std::chrono::seconds(30);
         duration lease_renew = std::chrono::seconds(10);
         duration lease_margin = std::chrono::seconds(3);
-        duration demand_hold = std::chrono::seconds(2); ///< a demand's life
+        /// Lifetime of a demand.
+        duration demand_hold = std::chrono::seconds(2);
         duration append_retry_min = std::chrono::milliseconds(50);
         duration append_retry_max = std::chrono::seconds(5);
         duration engine_poll = std::chrono::milliseconds(500);
         duration idle_ttl = std::chrono::minutes(5);
         duration claim_timeout = std::chrono::seconds(2);
-        duration log_silence = std::chrono::seconds(5); ///< then: unavailable
+        /// The log counts as unavailable after this time.
+        duration log_silence = std::chrono::seconds(5);
         std::size_t max_batch_bytes = std::size_t(256) << 10;
-        /// Records between two marks at which a checkpoint may be taken.
+        /// Records between two points at which a checkpoint may be taken.
         std::uint64_t checkpoint_records = 50'000;
         std::uint64_t seed = 1;
-        /// Unless the published policy names one; so does `idle_ttl`.
+        /// A strategy named by the published policy takes precedence, and so
+        /// does its hold time over `idle_ttl`.
         placement_kind placement = placement_kind::break_even;
-        /// Engine reports may be this old when they arrive.
+        /// Maximum assumed age of an engine report on arrival.
         duration report_lag = std::chrono::seconds(1);
-        /// Running requests may go on for so long on a draining replica.
+        /// Time that running requests get to finish on a draining replica.
         duration drain_grace = std::chrono::seconds(30);
-        /// The next router in line steps in for a silent proposer.
+        /// Time that each router in rendezvous order gives the one before it
+        /// to propose, before it proposes itself.
         duration proposer_patience = std::chrono::seconds(1);
-        /// A replica used within this time is never evicted.
+        /// A replica that was used within this time is never evicted.
         duration evict_grace = std::chrono::seconds(10);
-        /// After an order's answer was lost, its replica isn't reported gone.
+        /// Time after a lost order answer during which the replica isn't
+        /// reported gone.
         duration order_settle = std::chrono::seconds(5);
-        /// A load taken by its engine may go on for so long, or for ten times
-        /// its servable's estimate when that is longer; then it has failed.
+        /// Time limit of a load that the engine accepted, or ten times the
+        /// servable's load estimate if that is longer. Then the load has
+        /// failed.
         duration load_limit = std::chrono::seconds(60);
-        /// `leave` gives up after this time.
+        /// Time limit of `leave`.
         duration leave_limit = std::chrono::seconds(30);
         grant_options grants;
     };
@@ -308,60 +319,61 @@
     controller(controller&&) noexcept;
     controller& operator=(controller&&) noexcept;
 
-    /// Start: with an empty state, or one restored from a checkpoint.
+    /// Starts with an empty state or one restored from a checkpoint.
     void start(fleet_state state, stamp_ms wall, instant now);
 
-    /// Entries were read; `next` is the log's end as then known.
+    /// Entries were read. `next` is the end of the log as known at the read.
     void log_read(
         std::span<const log_entry> entries,
         log_offset next,
         stamp_ms wall,
         instant now);
-    /// The log keeps the entries from this offset on, as far as known.
+    /// The first offset that the log is known to retain.
     void log_kept(log_offset first);
-    /// The log couldn't be read.
+    /// A read of the log failed.
     void log_unreachable(instant now);
-    /// An append was answered or wasn't.
+    /// An append ended, with or without an answer.
     void
     append_answered(std::uint64_t batch, append_outcome outcome, instant now);
     void
     order_answered(std::uint64_t order, order_outcome outcome, instant now);
     void engine_read(const engine_report& report, instant now);
     void vms_listed(std::span<const vm_entry> vms, instant now);
-    /// Sessions that membership thinks alive (this one included). A hint.
+    /// Sessions that membership considers alive, including this one. A hint.
     void peers_changed(std::span<const session_id> alive, instant now);
     void demanded(const servable_demand& what, instant now);
-    /** This router sent a request to a servable (a hint).
+    /** This router sent a request to a servable. A hint.
 
-        @param servable What was used.
-        @param now      When.
-        @param caller   Any number that stands for the caller, by which callers
-                        who come back at regular times are known; 0: unknown.
+        @param servable The servable.
+        @param now      Time of the request.
+        @param caller   Any number that identifies the caller, used to detect
+                        callers with periodic requests; 0: unknown.
     */
     void used(servable_id servable, instant now, std::uint32_t caller = 0);
-    /// Another router told of a caller's use (a hint).
+    /// Another router reported a caller's use of a servable. A hint.
     void visited(const caller_visit& what, instant now);
     void claim(const claim_request& asked, instant now);
     void close_claim(claim_close what, instant now);
     void crash_seen(fingerprint request, engine_id engine, instant now);
-    /// Shut down: give leases back, then leave.
+    /// Shuts down: releases the leases, then appends the leave record.
     void leave(instant now);
     void tick(stamp_ms wall, instant now);
 
-    /// Commands since the last call, in order.
+    /// @return The commands since the last call, in order.
     std::vector<control_command> take_commands();
 
-    /// Called immediately before an order's bytes are written.
-    /// @return Whether the lease it was issued under still holds.
+    /// Has to be called immediately before an order's bytes are written.
+    /// @return Whether the lease under which the order was issued is still
+    ///         valid.
     bool may_send(const engine_order& order, instant now) const;
 
-    /// @return When `tick` has work next.
+    /// @return The time at which `tick` has work next.
     instant next_tick() const;
 
     const fleet_state& state() const;
-    /// @return Whether the log was read lately.
+    /// @return Whether the log was read within `log_silence`.
     bool log_available(instant now) const;
-    /// @return Whether this router's join is folded.
+    /// @return Whether this router's join record is folded.
     bool joined() const;
     session_id session() const;
 
--- a/include/roseworks/dispatcher.hpp
+++ b/include/roseworks/dispatcher.hpp
@@ -17,37 +17,38 @@
 namespace roseworks
 {
 
-/// A request's place in the dispatcher; unique within a router's run.
+/// Identifies a request in the dispatcher; unique during a router's run.
 using ticket = strong_id<struct ticket_tag, std::uint64_t>;
 
-/// What admission needs to know of a request.
+/// Properties of a request that admission and dispatching use.
 struct request_info
 {
-    std::string target; ///< servable's or service's name
+    std::string target; ///< name of a servable or service
     bool is_service = false;
     std::string caller = "anonymous";
     priority asked = priority::normal; ///< capped by the caller's class
     instant deadline;
-    instant objective = instant::max(); ///< an answer is worth most before it
+    /// Latency objective: the answer loses value after it.
+    instant objective = instant::max();
     fingerprint content;
-    std::uint64_t prefix = 0; ///< hash of the prompt's head; 0: none
+    std::uint64_t prefix = 0; ///< hash of the prompt's prefix; 0: none
     std::uint32_t prompt_bytes = 0;
     std::uint32_t max_tokens = 16;
     bool repeatable = true;
-    std::size_t held_bytes = 0; ///< memory the request holds here
+    std::size_t held_bytes = 0; ///< memory that the request uses in this router
 };
 
-/// Start the request on this backend server.
+/// Starts the request on this backend server.
 struct grant
 {
     ticket request;
     engine_id engine; ///< 0 for a plain service
     replica_id replica;
     std::string address;       ///< ip:port
-    std::uint32_t attempt = 0; ///< 0 for the first
+    std::uint32_t attempt = 0; ///< 0 for the first attempt
 };
 
-/// Answer the caller with a refusal; the request is forgotten.
+/// Answers the caller with a refusal. The dispatcher drops the request.
 struct refusal
 {
     ticket request;
@@ -56,76 +57,77 @@
     duration retry_after{};
 };
 
-/// A servable without enough ready replicas has requests waiting.
+/// Requests are waiting for a servable without enough ready replicas.
 struct demand
 {
     servable_id servable;
     priority urgency = priority::normal;
     std::uint32_t waiting = 0;
     instant earliest_deadline;
-    instant earliest_objective = instant::max(); ///< that can still be met
-    std::string target;                          ///< its name
+    /// Earliest objective of those that can still be met.
+    instant earliest_objective = instant::max();
+    std::string target; ///< name of the servable
 };
 
-/// A connection broke under a request that had been sent: its backend server
-/// may have died of it.
+/// A connection broke after a request was sent on it: the request may have
+/// crashed the backend server.
 struct crash_seen
 {
     fingerprint request;
     engine_id engine;    ///< 0 for a plain service
-    std::string address; ///< ip:port that the request was sent to
-    ticket under{};      ///< the dispatcher's own mark of the request
+    std::string address; ///< ip:port of that backend server
+    ticket under{};      ///< the request; used by the dispatcher only
 };
 
-/// What a look at a backend server showed after a connection to it broke.
+/// Result of examining a backend server after a connection to it broke.
 enum class crash_finding : std::uint8_t
 {
-    crashed,  ///< it is down, or another process runs in its place
+    crashed,  ///< it is down, or was replaced by another process
     survived, ///< the process that had the connection still runs
-    unknown   ///< it can't be told
+    unknown   ///< can't be determined
 };
 
-/// A backend server as grants name it.
+/// Identifies a backend server in the same way as `grant`.
 struct server_place
 {
     engine_id engine;    ///< 0 for a plain service
     std::string address; ///< ip:port
 };
 
-/// A permit to send one request to a server that named a rate limit is needed;
-/// `permit_given` or `permit_refused` follows.
+/// Asks for a permit to send one request to a server with a rate limit. The
+/// answer is `permit_given` or `permit_refused`.
 struct permit_wanted
 {
     server_place server;
-    bool waits = false; ///< a request has no other server to go to
+    bool waits = false; ///< a waiting request has no other server
 };
 
 using dispatch_command =
     std::variant<grant, refusal, demand, crash_seen, permit_wanted>;
 
-/// How an attempt ended, as the backend leg saw it.
+/// How an attempt ended, as seen by the backend connection.
 struct attempt_result
 {
     enum class end : std::uint8_t
     {
-        answered,        ///< the whole answer came
-        refused_not_run, ///< the server said that it did not run
-        not_sent,        ///< no byte left: connect failed or timed out
-        broken,          ///< connection broke after bytes were sent
-        no_progress,     ///< a progress timer ran out after bytes were sent
-        stopped,         ///< a cancel, perhaps a late one, stopped the run
+        answered,        ///< the answer is complete
+        refused_not_run, ///< the server reported that it did not run
+        not_sent,        ///< no byte was sent: connect failed or timed out
+        broken,          ///< the connection broke after bytes were sent
+        no_progress,     ///< a progress timer expired after bytes were sent
+        stopped,         ///< stopped by a cancel, which may have been late
         caller_left      ///< the caller closed its connection
     };
 
     end how = end::answered;
-    bool answer_started = false; ///< bytes were passed to the caller
-    bool resumable = false;      ///< what was passed can be continued elsewhere
-    std::uint32_t tokens = 0;    ///< tokens delivered
-    duration first_byte{};       ///< from sending to the first byte
-    duration total{};            ///< from sending to the end
+    bool answer_started = false; ///< bytes were sent to the caller
+    bool resumable = false; ///< another backend server can continue the answer
+    std::uint32_t tokens = 0; ///< tokens sent to the caller
+    duration first_byte{};    ///< from sending the request to the first byte
+    duration total{};         ///< from sending the request to the end
 };
 
-/// A backend server's own report of its load; lags.
+/// A backend server's report of its own load; may be out of date.
 struct load_report
 {
     engine_id engine;
@@ -133,41 +135,44 @@
     std::uint32_t waiting = 0;
 };
 
-/// A prompt prefix came into an engine's cache, or left it.
+/// A prompt prefix was added to an engine's cache or evicted from it.
 struct cache_event
 {
-    std::uint64_t sequence = 0; ///< numbered by the engine, from 1
+    std::uint64_t sequence = 0; ///< assigned by the engine, from 1
     std::uint64_t prefix = 0;   ///< as `request_info::prefix`
     bool cached = false;
 };
 
-/// Cache events of one engine, by number; some may be missing.
+/// Cache events of one engine, by sequence number; some may be missing.
 struct cache_report
 {
     engine_id engine;
     std::uint64_t incarnation = 0;
-    std::uint64_t from = 0; ///< first number asked for; 0: read anew
+    std::uint64_t from = 0; ///< first number requested; 0: read from the start
     std::uint64_t next = 0; ///< first number of the next read
     std::vector<cache_event> events;
 };
 
-/// What draws requests with the same prompt prefix to the same replica.
+/// How requests with the same prompt prefix are sent to the same replica.
 enum class prefix_affinity : std::uint8_t
 {
-    none,        ///< two choices by load only
+    none,        ///< not at all: two random choices, by load
     rendezvous,  ///< the replica that the prefix hashes to
     cache_events ///< replicas that reported the prefix; else by hash
 };
 
-/** Decides which request starts where and when, and which is refused.
+/** Decides when and on which backend server each request starts, and which
+    requests are refused.
 
-    Bounded queues per target; strict priority with ageing, earliest deadline
-    first inside a class, fair between callers; two choices by load for the
-    replica; retries within a budget; refusal as soon as a deadline can't be
-    met. Hints only, apart from one promise that rests on no hint: every ticket
-    gets exactly one final answer (a refusal, or `finished` without a new
-    grant), and a request that isn't repeatable gets no second grant once an
-    attempt may have reached a backend server.
+    Queues are bounded per target. Requests are ordered by strict priority with
+    ageing, by earliest deadline within a class, and fairly between callers. The
+    replica is the less loaded of two random choices. Retries are limited by a
+    budget. A request is refused as soon as its deadline can't be met.
+
+    These decisions are based on hints. One guarantee doesn't depend on them:
+    every ticket gets exactly one final answer (a refusal, or `finished` without
+    a new grant), and a request that isn't repeatable gets no second grant once
+    an attempt may have reached a backend server.
 
     Not thread-safe: the owner serializes calls. Deterministic for a seed.
 */
@@ -180,13 +185,15 @@
         std::uint32_t max_queued = 4000;
         std::size_t max_held_bytes = std::size_t(512) << 20;
         std::uint32_t retry_budget_percent = 20;
-        /// Without anything new for the caller: a stream that went on is
-        /// given as many again.
+        /// Maximum number of attempts that send nothing new to the caller. The
+        /// count restarts when a resumable stream has delivered new tokens.
         std::uint32_t max_attempts = 3;
-        duration ageing = std::chrono::seconds(30); ///< wait worth one class
+        /// A wait of this time raises a request by one class.
+        duration ageing = std::chrono::seconds(30);
         duration demand_interval = std::chrono::milliseconds(50);
         prefix_affinity affinity = prefix_affinity::cache_events;
-        std::string data_centre; ///< own, preferred while not loaded
+        /// This router's; preferred while its servers have spare capacity.
+        std::string data_centre;
         std::uint64_t seed = 1;
     };
 
@@ -195,82 +202,86 @@
     dispatcher(dispatcher&&) noexcept;
     dispatcher& operator=(dispatcher&&) noexcept;
 
-    /// A request has arrived. A refusal may be among the next commands.
+    /// A request arrived. The next commands may contain a refusal.
     ticket submit(request_info info, instant now);
 
-    /// An attempt has ended. Either the request is final, or a new grant or a
+    /// An attempt ended. Either the request is final, or a new grant or a
     /// refusal for the same ticket follows.
-    /// @return Whether the request is final, with its verdict to be told when
-    ///         nothing was passed to the caller yet.
+    /// @return Whether the request is final, and the verdict to report if
+    ///         nothing was sent to the caller yet.
     struct finish
     {
         bool final_answer = true;
         verdict outcome = verdict::answered;
         refusal_reason reason = refusal_reason::none;
-        duration retry_after{}; ///< when a replica is expected back; 0: unknown
+        /// Until a replica is expected to be ready; 0: unknown.
+        duration retry_after{};
     };
     finish finished(ticket request, const attempt_result& result, instant now);
 
-    /// The caller left, or a claim was refused, before the attempt was sent:
-    /// forgets the request. A granted slot becomes free.
+    /// Drops a request whose caller disconnected or whose claim was refused
+    /// before the attempt was sent. Frees its granted slot.
     void abandon(ticket request, instant now);
 
-    /** The backend server named by a `crash_seen` was looked at.
+    /** The backend server of a `crash_seen` was examined.
 
-        Connections that broke to a server that survived aren't crashes of the
-        request. One with too many broken connections isn't granted before this
-        was told of each: then it goes on, or is refused. Others' are ignored.
+        A broken connection to a server that survived isn't counted as a crash
+        caused by the request. A request with too many broken connections waits
+        for the results. It continues once few enough of them count as crashes,
+        and is refused if too many do after each was examined. Results for other
+        requests are ignored.
     */
     void
     crash_examined(const crash_seen& what, crash_finding finding, instant now);
 
-    /// A new table is in force.
+    /// A new routing table takes effect.
     void table_changed(routing_table_ptr table, instant now);
 
     /// A backend server reported its load.
     void load_reported(const load_report& report, instant now);
 
-    /** A backend server named a rate limit, over all routers, or names none.
+    /** A backend server announced or removed a rate limit over all routers.
 
-        From now on each request sent there takes a permit.
+        While there is a limit, each request sent there needs a permit.
 
-        @param per_second Requests; 0: no limit.
+        @param per_second Requests per second; 0: no limit.
     */
     void
     server_limited(const server_place& server, double per_second, instant now);
 
-    /// One request may be sent to a limited server from an instant on.
+    /// One request may be sent to a rate-limited server at `from` or later.
     void permit_given(const server_place& server, instant from, instant now);
 
-    /// None may for now; it isn't asked for again before.
+    /// No permit is available. None is requested again before `retry_after`.
     void permit_refused(
         const server_place& server, duration retry_after, instant now);
 
-    /// Takes a permit back that nothing was sent under.
+    /// Withdraws a permit that no request has used.
     /// @return Whether there was one.
     bool permit_withdrawn(const server_place& server);
 
-    /// An engine reported what its prefix cache holds.
+    /// An engine reported changes of its prefix cache.
     void cache_reported(const cache_report& report, instant now);
 
-    /// So many routers are alive, this one included. A hint: each may take its
-    /// equal share of a server's slots whatever others run there.
+    /// Number of routers alive, including this one. A hint: each may use an
+    /// equal share of a server's slots, whatever the others run there.
     void routers_alive(std::size_t count, instant now);
 
-    /// Backend servers on this VM get no new work from now on.
+    /// While `leaving`, backend servers on this VM get no new requests.
     void vm_leaving(std::string_view vm, bool leaving, instant now);
 
-    /// This router shuts down: waiting requests are refused as not run once
-    /// `draining`; those granted go on.
+    /// Shuts down: waiting requests are refused with reason `draining` and
+    /// verdict `not_run`; granted requests continue.
     void drain(instant now);
 
-    /// Time passes: refuses what can't be met, sends demand again.
+    /// Advances time: refuses requests that can't meet their deadline, and
+    /// sends demand again.
     void tick(instant now);
 
-    /// Commands since the last call, in order.
+    /// @return The commands since the last call, in order.
     std::vector<dispatch_command> take_commands();
 
-    /// @return When `tick` has work next; empty when nothing waits.
+    /// @return The time at which `tick` has work next; empty if there is none.
     std::optional<instant> next_tick() const;
 
     std::size_t queued() const;
--- a/include/roseworks/grant_hint.hpp
+++ b/include/roseworks/grant_hint.hpp
@@ -5,17 +5,18 @@
 namespace roseworks
 {
 
-/** A model that a standing grant lets its holder load while the log is away.
+/** A model that the holder of a standing grant may load while the log is
+    unavailable.
 
-    A hint: whether it may be loaded is decided by the grant's records, and
-    whether it is loaded is known from its engine's reports alone.
+    A hint: the grant's records decide whether the model may be loaded, and only
+    its engine's reports tell whether it is loaded.
 */
 struct grant_hint
 {
     servable_id servable;
-    replica_id replica; ///< the granted id
+    replica_id replica; ///< offset of the `grant_model` record
     engine_id engine;
-    bool loaded = false; ///< its engine shows it ready
+    bool loaded = false; ///< its engine reports it ready
 
     bool operator==(const grant_hint&) const = default;
 };
--- a/include/roseworks/ids.hpp
+++ b/include/roseworks/ids.hpp
@@ -7,9 +7,9 @@
 namespace roseworks
 {
 
-/** An integer that can't be mixed up with one of another meaning.
+/** An integer id that can't be converted to an id of another kind.
 
-    The value 0 stands for "none" in every kind of id.
+    The value 0 means "none" in every kind of id.
 */
 template <class Tag, class Rep>
 struct strong_id
@@ -25,7 +25,7 @@
     {
     }
 
-    /// Whether this names anything.
+    /// @return Whether the id isn't "none".
     constexpr explicit operator bool() const
     {
         return this->value != 0;
@@ -47,16 +47,17 @@
 /// Offset of the last accepted change of an entity; 0 when it doesn't exist.
 using revision = strong_id<struct revision_tag, std::uint64_t>;
 
-/// A model or adapter, interned in log order; the same on every router.
+/// A model or adapter. Ids are assigned in log order and are the same on every
+/// router.
 using servable_id = strong_id<struct servable_tag, std::uint32_t>;
 
-/// A model engine, interned in log order.
+/// A model engine; assigned in log order.
 using engine_id = strong_id<struct engine_tag, std::uint32_t>;
 
-/// A plain service, interned in log order.
+/// A plain service; assigned in log order.
 using service_id = strong_id<struct service_tag, std::uint32_t>;
 
-/// A caller with a record of its own, interned in log order.
+/// A caller with its own record; assigned in log order.
 using caller_id = strong_id<struct caller_tag, std::uint32_t>;
 
 /// A replica: the offset of the record that decided it.
@@ -66,7 +67,7 @@
 using session_id = strong_id<struct session_tag, std::uint64_t>;
 
 /// Fencing number of an engine's lease: the offset of the record that
-/// acquired it, so that a later holder always has a higher one.
+/// acquired it, so a later holder always has a higher number.
 using fence = strong_id<struct fence_tag, std::uint64_t>;
 
 /// Author of records: a stable hash of a VM's or operator's name.
@@ -82,7 +83,7 @@
 {
     std::size_t operator()(roseworks::strong_id<Tag, Rep> id) const noexcept
     {
-        // Fibonacci hashing spreads the consecutive ids of the log.
+        // Fibonacci hashing: log offsets are consecutive numbers.
         return static_cast<std::size_t>(
             static_cast<std::uint64_t>(id.value) * 0x9E3779B97F4A7C15ULL);
     }
--- a/include/roseworks/instant.hpp
+++ b/include/roseworks/instant.hpp
@@ -6,10 +6,10 @@
 namespace roseworks
 {
 
-/** The monotonic time line of one process.
+/** The monotonic clock of one process.
 
-    The core never reads a clock: every event carries the instant at which it
-    happened, so that tests and replays run on virtual time. Instants of two
+    The core never reads a clock. Every event carries the instant at which it
+    happened, so tests and replays can use virtual time. Instants of different
     processes can't be compared.
 */
 struct monotonic_time
@@ -24,11 +24,11 @@
 /// A length of time, in microseconds.
 using duration = monotonic_time::duration;
 
-/// A point on the process's monotonic time line.
+/// A point in time of the process's monotonic clock.
 using instant = monotonic_time::time_point;
 
 /// Wall-clock milliseconds since 1970, as stamped on a record by its author.
-/// Only compared through the log time of `fleet_state`; never for leases.
+/// Compared only through `fleet_state::log_time`; never used for leases.
 using stamp_ms = std::int64_t;
 
 } // namespace roseworks
--- a/include/roseworks/membership.hpp
+++ b/include/roseworks/membership.hpp
@@ -18,7 +18,7 @@
 namespace roseworks
 {
 
-/// What a router thinks of another's liveness.
+/// A router's view of another router's liveness.
 enum class liveness : std::uint8_t
 {
     alive,
@@ -26,11 +26,13 @@
     dead
 };
 
-/// News of one member, carried on probes until it has been sent often enough.
+/// State change of one member. Sent with other datagrams a limited number of
+/// times.
 struct member_update
 {
     session_id session;
-    std::uint32_t incarnation = 0; ///< raised by the member to refute
+    /// Increased by the member to refute a suspicion.
+    std::uint32_t incarnation = 0;
     liveness state = liveness::alive;
 };
 
@@ -38,7 +40,7 @@
 struct probe
 {
     std::uint64_t sequence = 0;
-    session_id target; ///< a late process at the address doesn't answer
+    session_id target; ///< a later process at the same address doesn't answer
 };
 
 /// Asks the receiver to probe `target` on the sender's behalf.
@@ -48,15 +50,15 @@
     session_id target;
 };
 
-/// Answers a probe; `sequence` is the prober's.
+/// Answers a probe; `sequence` is that of the probe.
 struct probe_ack
 {
     std::uint64_t sequence = 0;
     session_id target;
 };
 
-/// One datagram between routers. At most `membership::max_updates` updates, so
-/// that its size doesn't grow with the fleet.
+/// One datagram between routers. Contains at most `membership::max_updates`
+/// updates, so its size doesn't grow with the number of routers.
 struct peer_message
 {
     session_id from;
@@ -75,22 +77,23 @@
 
 /** Decode a datagram's content.
 
-    @param bytes What was received, after its MAC was checked.
+    @param bytes The received bytes, after a check of their MAC.
     @return      The message, or a `codec_error`.
 */
 boost::leaf::result<peer_message>
 decode_peer_message(std::span<std::byte const> bytes);
 
-/** Which routers are alive, by fixed fan-out probing over UDP.
+/** Detects which routers are alive, by probing over UDP with a fixed fan-out.
 
-    The list of members is decided state (sessions in the log); this only adds
-    who answers. Each interval one member of a shuffled round is probed; one
-    that doesn't answer is probed through `fanout` others, then suspected, and
-    after `suspect_after` taken for dead. A suspected member that lives refutes
-    with a higher incarnation. Costs a constant number of datagrams per router
-    and interval, however many routers there are.
+    The list of members is decided state (sessions in the log); this class only
+    determines which of them answer. In each interval one member is probed, in
+    the order of a shuffled round. A member that doesn't answer is probed
+    through `fanout` other members, then suspected, and after `suspect_after`
+    considered dead. A suspected member that is alive refutes the suspicion with
+    a higher incarnation. The number of datagrams per router and interval is
+    constant, whatever the number of routers.
 
-    Hint only: nothing is decided by it. Deterministic for a seed; not
+    A hint: no decision depends on it. Deterministic for a seed. Not
     thread-safe.
 */
 class membership
@@ -101,11 +104,11 @@
         duration probe_interval = std::chrono::seconds(1);
         duration ack_timeout = std::chrono::milliseconds(300);
         duration suspect_after = std::chrono::seconds(5);
-        std::uint32_t fanout = 3; ///< helpers asked for an indirect probe
+        std::uint32_t fanout = 3; ///< members asked for an indirect probe
         std::uint64_t seed = 1;
     };
 
-    /// A member as the log has it.
+    /// A member as recorded in the log.
     struct member
     {
         session_id session;
@@ -119,7 +122,7 @@
         peer_message message;
     };
 
-    /// Most updates on one datagram.
+    /// Maximum number of updates in one datagram.
     static constexpr std::size_t max_updates = 8;
 
     explicit membership(options settings);
@@ -127,48 +130,50 @@
     membership(membership&&) noexcept;
     membership& operator=(membership&&) noexcept;
 
-    /** Take over the decided list of sessions.
+    /** Replace the list of members by the decided sessions.
 
         @param self    This router's session; 0 until its join is folded.
         @param members All sessions that haven't ended, in any order.
-        @param now     The time.
+        @param now     The current time.
     */
     void members_changed(
         session_id self, std::span<const member> members, instant now);
 
-    /// A datagram came. A demand in it is left in `take_demands`, a visit in
-    /// `take_visits`.
+    /// A datagram was received. `take_demands` returns a demand in it, and
+    /// `take_visits` a visit.
     void received(const peer_message& message, instant now);
 
-    /// Time passes: probes, suspects, gives up.
+    /// Advances time: sends probes, and marks silent members as suspect or
+    /// dead.
     void tick(instant now);
 
-    /// Send another router this router's demand, with news on the same
-    /// datagram.
+    /// Sends this router's demand to another router, with member updates in the
+    /// same datagram.
     void send_demand(session_id to, const servable_demand& what);
 
-    /// Tell another router of a caller's visit, likewise.
+    /// Sends a caller's visit to another router in the same way.
     void send_visit(session_id to, const caller_visit& what);
 
-    /// Datagrams to send since the last call.
+    /// @return The datagrams to send since the last call.
     std::vector<outgoing> take_outgoing();
 
-    /// Demands heard since the last call.
+    /// @return The demands received since the last call.
     std::vector<servable_demand> take_demands();
 
-    /// Visits heard of since the last call.
+    /// @return The visits received since the last call.
     std::vector<caller_visit> take_visits();
 
-    /// @return Whether the set of `alive` changed since this was last asked.
+    /// @return Whether the result of `alive` changed since the last call.
     bool take_changed();
 
-    /// @return Sessions not thought dead, this router's among them, sorted.
+    /// @return The sessions not considered dead, including this router's,
+    ///         sorted.
     std::vector<session_id> alive() const;
 
-    /// @return What is thought of a member; empty for a stranger.
+    /// @return The liveness of a member; empty for a session that is no member.
     std::optional<liveness> state_of(session_id session) const;
 
-    /// @return When `tick` has work next.
+    /// @return The time at which `tick` has work next.
     instant next_tick() const;
 
 private:
--- a/include/roseworks/names.hpp
+++ b/include/roseworks/names.hpp
@@ -16,7 +16,7 @@
 namespace detail
 {
 
-/// @return The value's word in a table in the order of its enumerators.
+/// @return The value's word in a table that is in the order of the enumerators.
 template <std::size_t Count, class Enum>
 constexpr std::string_view
 word_in(const std::array<std::string_view, Count>& words, Enum value)
@@ -71,9 +71,9 @@
 
 } // namespace detail
 
-/// The words of decided state as logs, the audit trail and `/state` show them.
+/// The following words appear in logs, the audit trail and `/state`.
 
-/// @return `model`, `adapter`, ...; `entity` for a kind not known here.
+/// @return `model`, `adapter`, ...; `entity` for an unknown kind.
 constexpr std::string_view to_string(entity_kind kind)
 {
     const auto index = static_cast<std::size_t>(kind);
@@ -107,7 +107,7 @@
     return action == order_action::load ? "load" : "unload";
 }
 
-/// @return The name of a record's kind, as in the audit trail.
+/// @return The name of a record's kind, as used in the audit trail.
 constexpr std::string_view kind_name(const record_payload& payload)
 {
     return detail::record_kind_words[payload.index()];
--- a/include/roseworks/placement_strategy.hpp
+++ b/include/roseworks/placement_strategy.hpp
@@ -10,38 +10,40 @@
 namespace roseworks
 {
 
-/** How long idle replicas are kept, and which goes first when memory is short.
+/** Decides how long idle replicas are kept and which are evicted first when
+    memory is short.
 
-    A hint: each router asks its own strategy, fed with what it saw. Whatever it
-    says, the fold keeps replicas and memory within what is declared.
+    A hint: each router has its own strategy, based on the requests it observed.
+    Whatever the strategy returns, the fold keeps replicas and memory within the
+    declared limits.
 */
 class placement_strategy
 {
 public:
     virtual ~placement_strategy() = default;
 
-    /** Learn that a servable was used.
+    /** Record a use of a servable.
 
         @param id  The servable.
-        @param now When.
+        @param now Time of the use.
     */
     virtual void used(servable_id id, instant now) = 0;
 
-    /** How long a replica is kept idle before it is unloaded.
+    /** Time that an idle replica is kept before it is unloaded.
 
         @param what   The servable.
         @param policy The deployment's weights.
-        @return       Time since its last use.
+        @return       The time, counted from its last use.
     */
     virtual duration
     hold(const servable_view& what, const policy_spec& policy) const = 0;
 
-    /** Order of eviction when an engine's memory is short.
+    /** Rank of a replica for eviction when an engine's memory is short.
 
         @param what   The servable.
         @param idle   Time since the replica's last use.
         @param policy The deployment's weights.
-        @return       The replica with the highest value goes first.
+        @return       The rank; the replica with the highest is evicted first.
     */
     virtual double eviction_value(
         const servable_view& what,
@@ -49,10 +51,10 @@
         const policy_spec& policy) const = 0;
 };
 
-/** Make a strategy.
+/** Create a strategy.
 
-    @param kind     Which; `unset` is taken as `break_even`.
-    @param idle_ttl Time to live of `fixed_ttl`; for the others the hold of a
+    @param kind     Kind of strategy; `unset` selects `break_even`.
+    @param idle_ttl Time to live of `fixed_ttl`; for the others, the hold of a
                     servable with the reference load time at equal weights.
     @return         The strategy.
 */
--- a/include/roseworks/plan.hpp
+++ b/include/roseworks/plan.hpp
@@ -11,12 +11,12 @@
 namespace roseworks
 {
 
-/// One field that a change moves.
+/// One field whose value changes.
 struct field_difference
 {
     std::string_view field;
-    std::string before; ///< empty when the entity is new
-    std::string after;  ///< empty when it is removed
+    std::string before; ///< empty if the entity is new
+    std::string after;  ///< empty if the entity is removed
 };
 
 /// @return The fields in which two specs differ; either may be absent.
@@ -35,7 +35,7 @@
 /// @return `add`, `change` or `remove`.
 std::string_view to_string(planned_action action);
 
-/// One step of a plan. `change` names the revision that was planned against.
+/// One step of a plan. `change` names the revision on which it is based.
 struct planned_change
 {
     planned_action action = planned_action::add;
@@ -43,8 +43,9 @@
     std::vector<field_difference> fields;
 };
 
-/// An engine's memory if every declared replica were loaded, placed largest
-/// first on the engine with the most free memory. An estimate.
+/// Estimate of an engine's memory use if every declared replica were loaded.
+/// Replicas are placed in order of size, largest first, each on the engine with
+/// the most free memory.
 struct engine_worst_case
 {
     std::string name;
@@ -53,7 +54,7 @@
     std::uint64_t worst_case_mib = 0;
 };
 
-/// What a plan leads to, beside the records themselves.
+/// Expected effects of applying a plan.
 struct plan_effects
 {
     std::int64_t max_replicas_added = 0; ///< negative: removed
@@ -63,19 +64,20 @@
     std::uint32_t replicas_without_room = 0;
     std::vector<engine_worst_case> engines;
     std::uint32_t loads = 0;         ///< replicas to load now
-    std::uint32_t replicas_gone = 0; ///< loaded replicas above their maximum
-    /// Time of the loads at the weight store's slots and rate.
+    std::uint32_t replicas_gone = 0; ///< loaded replicas above the new maximum
+    /// Duration of the loads, limited by the weight store's slots and rate.
     std::uint64_t load_time_ms = 0;
 };
 
-/// The way from the decided state to a desired text.
+/// The changes that turn the decided state into the desired one.
 struct plan
 {
-    log_offset at; ///< state it was made against
+    log_offset at; ///< offset of the state on which the plan is based
     std::vector<planned_change> changes;
     plan_effects effects;
     std::vector<std::string> warnings;
-    std::vector<std::string> problems; ///< the fold would reject these
+    std::vector<std::string>
+        problems; ///< reasons for which the fold would reject the plan
 
     /// @return The changes for a `config_change`.
     std::vector<entity_change> entity_changes() const;
@@ -84,28 +86,29 @@
 /// Options of `make_plan`.
 struct plan_options
 {
-    bool prune = false; ///< remove what the text doesn't name
+    bool prune = false; ///< remove entities that the text doesn't declare
 };
 
-/** Compare the decided state with a desired text.
+/** Compare the decided state with the desired one.
 
-    Removals come first adapters, then the rest; additions first models, then
+    Adapters are removed before other entities, and models are added before
     adapters, so that the changes are valid in their order.
 
     @param state   The folded state.
-    @param wanted  The desired text.
-    @param options See there.
-    @return        What to change, with the expected revisions.
+    @param wanted  The content of the desired text.
+    @param options See `plan_options`.
+    @return        The changes, with the expected revisions.
 */
 plan make_plan(
     const fleet_state& state,
     const desired_fleet& wanted,
     plan_options options);
 
-/** Everything that is declared now, as a text's content.
+/** All entities that are declared now, as the content of a text of records.
 
     @param state The folded state.
-    @return      Its readable entities in the newest schema, by kind and name.
+    @return      Its readable entities in the newest schema, sorted by kind and
+                 name.
 */
 desired_fleet declared_fleet(const fleet_state& state);
 
--- a/include/roseworks/record.hpp
+++ b/include/roseworks/record.hpp
@@ -15,7 +15,7 @@
 {
 
 /// Identity of a record, chosen by its author before the first append. An
-/// append whose answer was lost is sent again under the same id.
+/// append without an answer is retried with the same id.
 struct record_id
 {
     author_id author;
@@ -33,22 +33,22 @@
     revision expected; ///< 0: it must not exist
     std::uint16_t schema = newest_entity_schema;
     std::optional<entity_spec> spec; ///< empty: remove
-    /// Encoded spec of a schema newer than this program's; carried on as is.
+    /// Encoded spec of a schema newer than this program's; kept unchanged.
     std::vector<std::byte> unread;
 };
 
-/// Operators' changes, accepted all together or not at all.
+/// Changes by an operator, accepted all together or not at all.
 struct config_change
 {
-    std::string author; ///< operator's name, for the trail
+    std::string author; ///< operator's name, for the audit trail
     std::string note;
     std::vector<entity_change> changes;
-    /// By an operators' key (see operator_key.hpp); empty when not signed.
+    /// Made with an operators' key (see operator_key.hpp); empty if unsigned.
     std::vector<std::byte> signature;
 };
 
-/// A router process starts. Ends the sessions of older incarnations of the
-/// same author: one address can be bound by one process only.
+/// A router process started. Ends the sessions of older incarnations of the
+/// same author, since only one process can bind an address.
 struct router_join
 {
     std::string name;
@@ -57,19 +57,21 @@
     std::string http_address;
 };
 
-/// A router stops cleanly: no order of it is in flight; its leases are free.
+/// A router stopped cleanly: none of its orders is in flight, and its leases
+/// are free.
 struct router_leave
 {
     session_id session;
 };
 
-/// Proof that a router's process is gone: its VM left the platform's list,
-/// or an operator said so.
+/// Proof that a router's process is gone: its VM was removed from the
+/// platform's list, or an operator confirmed it.
 struct router_gone
 {
     session_id session;
     std::string evidence;
-    std::vector<std::byte> signature; ///< an operator's; routers don't sign
+    std::vector<std::byte>
+        signature; ///< an operator's; empty in records of routers
 };
 
 /// Renews every lease of a session with one record.
@@ -78,35 +80,36 @@
     session_id session;
 };
 
-/// Takes an engine's lease. `previous` and `previous_renewal` name what the
-/// taker saw lapse; the fold rejects the record when the holder renewed since.
+/// Takes an engine's lease. `previous` and `previous_renewal` identify the
+/// lease that the taker saw expire. The record is rejected if the holder has
+/// renewed since.
 struct lease_acquire
 {
     engine_id engine;
     session_id session;
-    session_id previous; ///< 0: nobody held it
+    session_id previous; ///< 0: the lease was free
     log_offset previous_renewal;
 };
 
-/// No order of the session to the engine is in flight, nor will be under the
-/// lease that it had. Gives the lease back when the session holds it; from a
-/// former holder it is the proof that frees memory waits for.
+/// States that no order of the session to the engine is in flight, and that
+/// none will be sent under its lease. Releases the lease if the session holds
+/// it. From a former holder, it is the proof required before memory is freed.
 struct lease_release
 {
     engine_id engine;
     session_id session;
 };
 
-/// A replica shall be loaded on an engine. Valid while the revisions named
-/// are still current, the servable has fewer replicas than its maximum and
-/// the engine has memory for it, counting all that isn't proven gone.
+/// Decides that a replica is loaded on an engine. Valid if the named revisions
+/// are current, the servable has fewer replicas than its maximum and the engine
+/// has enough memory. Everything not proven gone counts.
 struct replica_decide
 {
     servable_id servable;
     revision servable_revision;
     engine_id engine;
     revision engine_revision;
-    replica_id base;    ///< adapters: the base's replica there
+    replica_id base;    ///< of an adapter: the base's replica on the engine
     session_id session; ///< proposer
     priority urgency = priority::normal;
 };
@@ -117,21 +120,22 @@
     decided, ///< waits for a weight-store slot
     loading, ///< holds a slot; the lease holder orders the load
     ready,
-    draining,  ///< no new requests; those running end
+    draining,  ///< no new requests; running ones finish
     unloading, ///< the lease holder orders the unload
     failed,    ///< the load failed; memory is held until proven gone
     gone       ///< proven gone; memory is free
 };
 
-/// The engine's lease holder (or, for `draining`, any router) moves a replica
-/// on. Rejected when the transition isn't legal or the fence isn't current.
+/// State transition of a replica, reported by the engine's lease holder or, for
+/// `draining`, by any router. Rejected if the transition is illegal or the
+/// fence isn't current.
 struct replica_report
 {
     replica_id replica;
     replica_state to = replica_state::ready;
     fence held; ///< 0 for `draining`
     session_id session;
-    std::string cause; ///< short, for the trail
+    std::string cause; ///< short, for the audit trail
 };
 
 /// 128-bit hash of caller and idempotency key.
@@ -143,29 +147,30 @@
     friend auto operator<=>(const claim_key&, const claim_key&) = default;
 };
 
-/// Short fingerprint of what a claimed call asks for: method, path and body.
-/// 0: not known, as in records of programs that wrote none.
+/// Short fingerprint of a claimed call's method, path and body. 0: unknown, as
+/// in records of older programs.
 using claim_content = std::uint32_t;
 
-/// Claims a key before a non-repeatable request is sent. The first wins.
+/// Claims a key before a non-repeatable request is sent. The first claim is
+/// accepted.
 struct claim_open
 {
     claim_key key;
     session_id session;
-    claim_content content = 0; ///< 0: not known
-    stamp_ms issued = 0; ///< caller's clock when it made the key; 0: untold
+    claim_content content = 0; ///< 0: unknown
+    stamp_ms issued = 0; ///< caller's clock when it created the key; 0: unknown
 };
 
-/// What became of a claimed request.
+/// Outcome of a claimed request.
 enum class claim_outcome : std::uint8_t
 {
     open, ///< unknown: may be running
     answered,
     may_have_run,
-    not_run ///< certain: the key may be claimed anew
+    not_run ///< certain: the key may be claimed again
 };
 
-/// Closes a claim. Only the session that opened it may.
+/// Closes a claim. Accepted only from the session that opened it.
 struct claim_close
 {
     claim_key key;
@@ -175,7 +180,7 @@
     std::string body;         ///< the answer, when small enough
 };
 
-/// A backend server died while it ran the request with this fingerprint.
+/// A backend server crashed while it ran the request with this fingerprint.
 struct request_suspect
 {
     fingerprint request;
@@ -183,7 +188,7 @@
     session_id session;
 };
 
-/// An operator lets a blocked request through again.
+/// An operator unblocks a request.
 struct request_unblock
 {
     fingerprint request;
@@ -201,30 +206,33 @@
     std::vector<std::byte> data;
 };
 
-/** Opens, resizes or closes the standing grant of an engine: what the holder of
-    its lease may load alone while the log is away.
+/** Opens, resizes or closes the standing grant of an engine. The grant defines
+    what the engine's lease holder may load by itself while the log is
+    unavailable.
 
-    The memory is reserved on the engine and the loads are taken from the weight
-    store's slots, used or not. Only models named by a `grant_model` may be
-    loaded under it. It renews the session: until the grant is closed, a taker
-    of the lease waits `term_ms` where it would wait a lease's term, so the
-    holder may use the grant for that long, less the margin, after it handed
-    out its last renewal. A holder that shortens the term, the memory or the
-    loads keeps to the smaller ones from before it hands out the record.
+    The memory stays reserved on the engine and the loads in the weight store's
+    slots, whether they are used or not. Only models named by a `grant_model`
+    may be loaded under the grant. The record renews the session.
+
+    Until the grant is closed, a router that takes over the lease waits for
+    `term_ms` instead of the lease's term. The holder may therefore use the
+    grant for that time, less the margin, after it submitted its last renewal. A
+    holder that reduces the term, the memory or the loads keeps to the reduced
+    values before it submits the record.
 */
 struct grant_open
 {
     engine_id engine;
     session_id session;
     fence held;
-    std::uint32_t memory_mib = 0; ///< 0, and no loads: close it
-    std::uint16_t loads = 0;      ///< weight-store loads at once
+    std::uint32_t memory_mib = 0; ///< 0 and no loads: close the grant
+    std::uint16_t loads = 0;      ///< concurrent loads from the weight store
     std::uint32_t term_ms = 0;
 };
 
-/// Adds a model to the standing grant of an engine. Its replica is counted as
-/// if it were loaded there; the record's offset is the replica's id, whoever
-/// has it loaded.
+/// Adds a model to the standing grant of an engine. It counts as a replica
+/// loaded there. The record's offset is the replica's id, whichever router
+/// orders the load.
 struct grant_model
 {
     servable_id servable;
@@ -234,9 +242,10 @@
     fence held;
 };
 
-/// The lease holder says what became of a granted model: its load was ordered,
-/// and it is a replica from now on, with memory of the grant; or it isn't on
-/// the engine, no order to load it is in flight, and none will be.
+/// The lease holder reports the outcome of a granted model. If `used`, its load
+/// was ordered, and it becomes a replica with memory taken from the grant.
+/// Otherwise it isn't on the engine, no order to load it is in flight, and none
+/// will be sent.
 struct grant_settle
 {
     replica_id replica;
@@ -245,26 +254,26 @@
     bool used = false;
 };
 
-/// Accepts or retires a key that signs operators' records. The first key signs
-/// itself; any later change is signed by an accepted key, and a key is retired
-/// by another one, so that there is always one left that works.
+/// Accepts or retires a key that signs operators' records. The record of the
+/// first key is signed with that key, any later one with an accepted key. A key
+/// can be retired only by another key, so that at least one stays accepted.
 struct operator_key_change
 {
-    std::string author; ///< operator's name, for the trail
+    std::string author; ///< operator's name, for the audit trail
     std::uint8_t number = 0;
-    std::vector<std::byte> key; ///< the public key; empty: retire the number
+    std::vector<std::byte> key;       ///< the public key; empty: retire the key
     std::vector<std::byte> signature; ///< as in `config_change`
 };
 
-/// A record of a kind newer than this program: carried and reported.
+/// A record of a kind newer than this program: kept and reported.
 struct unknown_record
 {
     std::uint8_t kind = 0;
     std::vector<std::byte> data;
 };
 
-/// Content of a record. The order of alternatives is the wire's kind number:
-/// append only.
+/// Content of a record. The index of an alternative is its kind number in the
+/// encoding, so new ones may only be appended.
 using record_payload = std::variant<
     unknown_record,
     config_change,
--- a/include/roseworks/record_text.hpp
+++ b/include/roseworks/record_text.hpp
@@ -14,17 +14,17 @@
 namespace roseworks
 {
 
-/// One thing wrong with a text of records.
+/// One error in a text of records.
 struct text_problem
 {
     std::size_t line = 0; ///< counted from 1
     std::string section;  ///< as written between the brackets
-    std::string field;    ///< empty when the section itself is wrong
+    std::string field;    ///< empty if the error concerns the section itself
     std::string reason;
-    std::string allowed; ///< range or words; empty when there is no rule
+    std::string allowed; ///< allowed range or words; empty if none apply
 };
 
-/// LEAF error object of `parse_records`: every problem, by line.
+/// LEAF error object of `parse_records`: every problem, sorted by line.
 struct text_problems
 {
     std::vector<text_problem> all;
@@ -33,13 +33,13 @@
 /// @return `12: [model a] memory_mib: out of range: 0; allowed: 1 to 16777216`.
 std::string to_string(const text_problem& problem);
 
-/// One entity as an operator wants it.
+/// One entity as declared by an operator.
 struct desired_entity
 {
     std::string name;
     std::uint16_t schema = newest_entity_schema;
     entity_spec spec;
-    std::size_t line = 0; ///< of its section
+    std::size_t line = 0; ///< line of its section header
 
     entity_kind kind() const
     {
@@ -47,33 +47,33 @@
     }
 };
 
-/// The content of a text of records, in the order written.
+/// The content of a text of records, in the order of the text.
 struct desired_fleet
 {
     std::uint16_t schema = newest_entity_schema;
     std::vector<desired_entity> entities;
 
-    /// @return The entity, null when it isn't there.
+    /// @return The entity; null if it isn't declared.
     const desired_entity* find(entity_kind kind, std::string_view name) const;
 };
 
 /// Name of the only policy entity.
 inline constexpr std::string_view policy_name = "policy";
 
-/** Read a text of records (docs/RECORDS.md).
+/** Parse a text of records (docs/RECORDS.md).
 
-    A section of schema 1 is upcast; the schema it was written in is kept in
-    `desired_entity::schema`.
+    A section of schema 1 is converted to the newest schema. Its original schema
+    is kept in `desired_entity::schema`.
 
     @param text The whole text.
-    @return     What it declares; or `text_problems` with every problem.
+    @return     The declared entities, or `text_problems` with every problem.
 */
 boost::leaf::result<desired_fleet> parse_records(std::string_view text);
 
-/** Write a text of records that `parse_records` reads back.
+/** Format a text of records that `parse_records` can parse.
 
-    @param fleet What to write.
-    @return      The text; the same text for equal content.
+    @param fleet The content.
+    @return      The text; the same for equal content.
 */
 std::string print_records(const desired_fleet& fleet);
 
@@ -89,13 +89,13 @@
 /** The fields of a spec.
 
     @param spec   The spec.
-    @param schema Schema in whose fields it is shown.
+    @param schema Schema whose fields are used.
     @return       Names and values in the order of docs/RECORDS.md.
 */
 std::vector<field_text>
 fields_of(const entity_spec& spec, std::uint16_t schema = newest_entity_schema);
 
-/// @return docs/RECORDS.md, written from the table that drives the parser.
+/// @return The content of docs/RECORDS.md, generated from the parser's table.
 std::string field_reference();
 
 } // namespace roseworks
--- a/include/roseworks/rendezvous.hpp
+++ b/include/roseworks/rendezvous.hpp
@@ -10,16 +10,17 @@
 namespace roseworks
 {
 
-/// What a rendezvous key names, so that equal numbers of two kinds hash apart.
+/// Kind of a rendezvous key, so that equal numbers of different kinds have
+/// different hashes.
 enum class rendezvous_domain : std::uint8_t
 {
     engine_lease = 1,
     proposer = 2,
     checkpoint = 3,
-    obituary = 4 ///< who writes down that a router is gone
+    obituary = 4 ///< who appends the `router_gone` record
 };
 
-/// A thing of which one live session shall take care.
+/// A task for which one live session is responsible.
 struct rendezvous_key
 {
     rendezvous_domain domain = rendezvous_domain::engine_lease;
@@ -28,30 +29,30 @@
 
 /** Weight of a session for a key (highest random weight hashing).
 
-    A hint: who is chosen changes with the set of live sessions, and two routers
-    may see different sets. Equal on every machine.
+    A hint: the choice depends on the set of live sessions, and two routers may
+    see different sets. The weight is the same on every machine.
 
-    @param key     What is to be taken care of.
+    @param key     The task.
     @param session A candidate.
-    @return        Its weight; the highest of the live sessions is chosen.
+    @return        Its weight; the live session with the highest is chosen.
 */
 std::uint64_t rendezvous_weight(rendezvous_key key, session_id session);
 
-/** Choose the session that takes care of a key.
+/** Choose the session responsible for a key.
 
-    @param key   What is to be taken care of.
+    @param key   The task.
     @param alive Candidates, in any order.
-    @return      The chosen one, 0 when there are none.
+    @return      The chosen session; 0 if there are no candidates.
 */
 session_id
 rendezvous_choice(rendezvous_key key, std::span<const session_id> alive);
 
-/** Place of a session in a key's order of candidates.
+/** Rank of a session in a key's order of candidates.
 
-    @param key   What is to be taken care of.
+    @param key   The task.
     @param alive Candidates, in any order.
-    @param self  The session asked about; needn't be among them.
-    @return      0 when it is the chosen one, 1 when it is next, and so on.
+    @param self  The session to rank; may be missing from the candidates.
+    @return      0 for the chosen session, 1 for the next one, and so on.
 */
 std::size_t rendezvous_rank(
     rendezvous_key key, std::span<const session_id> alive, session_id self);
--- a/include/roseworks/routing_table.hpp
+++ b/include/roseworks/routing_table.hpp
@@ -15,17 +15,18 @@
 namespace roseworks
 {
 
-/// A ready replica that may be given requests.
+/// A ready replica to which requests may be sent.
 struct route
 {
     replica_id replica;
     engine_id engine;
-    std::string address; ///< engine's ip:port
+    std::string address; ///< ip:port of the engine
     std::string data_centre;
     std::string vm;
 };
 
-/// How to serve one model or adapter; 56 bytes, as there are tens of thousands.
+/// Routes to one model or adapter. Kept at 56 bytes because a table has tens of
+/// thousands of them.
 struct servable_routes
 {
     servable_id id;
@@ -33,12 +34,12 @@
     std::uint16_t max_streams = 8; ///< per replica
     std::uint16_t max_replicas = 0;
     bool is_adapter = false;
-    bool granted = false; ///< may be loaded while the log is away
-    servable_name name;   ///< in a table: valid while the table lives
+    bool granted = false; ///< may be loaded while the log is unavailable
+    servable_name name;   ///< in a table: valid as long as the table
     std::vector<route> ready;
 };
 
-/// How to serve one plain service.
+/// Routes to one plain service.
 struct service_routes
 {
     service_id id;
@@ -48,48 +49,48 @@
     std::vector<service_backend> backends;
 };
 
-/** What traffic threads know of the decided state: an immutable snapshot.
+/** Immutable snapshot of the decided state for traffic threads.
 
-    Shares unchanged entries with the table before it, so that a change costs
-    the entries it touches and not the 87,000 others. A hint: it trails the
-    fold by one publication.
+    Shares unchanged entries with the previous table, so the cost of a change
+    depends on the entries that it affects and not on the other 87,000. A hint:
+    it is one publication behind the fold.
 */
 class routing_table
 {
 public:
     virtual ~routing_table() = default;
 
-    /// @return The model or adapter, null when there is none of this name.
+    /// @return The model or adapter; null if there is none of this name.
     virtual const servable_routes*
     find_servable(std::string_view name) const = 0;
 
-    /// @return The servable of this id, null when there is none.
+    /// @return The servable of this id; null if there is none.
     virtual const servable_routes* find_servable(servable_id id) const = 0;
 
-    /// @return The plain service, null when there is none of this name.
+    /// @return The plain service; null if there is none of this name.
     virtual const service_routes* find_service(std::string_view name) const = 0;
 
-    /// @return The caller's spec, null when there is no record of it.
+    /// @return The caller's spec; null if the caller has no record.
     virtual const caller_spec* find_caller(std::string_view name) const = 0;
 
-    /// @return Whether the request may not run for now.
+    /// @return Whether the request is blocked now.
     virtual bool is_blocked(fingerprint request) const = 0;
 
-    /// @return Whether the request crashed a backend server once.
+    /// @return Whether the request may have crashed a backend server.
     virtual bool is_suspect(fingerprint request) const = 0;
 
-    /// @return Whether the log could be read lately.
+    /// @return Whether the log was read recently.
     virtual bool log_available() const = 0;
 
-    /// @return When a servable that is nowhere can be ready, as planned by
-    ///         whoever places it; empty: not known.
+    /// @return The time at which a servable without a ready replica is planned
+    ///         to be ready; empty if unknown.
     virtual std::optional<instant>
     expected_ready(std::string_view /*servable*/) const
     {
         return std::nullopt;
     }
 
-    /// @return Names of all models and adapters, sorted.
+    /// @return The names of all models and adapters, sorted.
     virtual std::vector<std::string> servable_names() const = 0;
 };
 
--- a/include/roseworks/routing_table_builder.hpp
+++ b/include/roseworks/routing_table_builder.hpp
@@ -10,18 +10,17 @@
 namespace roseworks
 {
 
-/** Keeps the routing table in step with the decided state.
+/** Builds routing tables from the decided state.
 
-    Tables share what didn't change: a change costs the leaf of 64 entries that
-    it touches, the 64 leaves beside it and one pointer for each 4096 entries,
-    whatever the number of other entries. Changes between two calls of `table`
-    are gathered.
+    Tables share unchanged parts. A change copies the leaf of 64 entries that it
+    affects, the node of 64 leaves around it, and one pointer for each 4096
+    entries. Changes between two calls of `table` are applied together.
 
     A ready route is a replica in state `ready` on an engine that isn't
-    draining. An adapter's streams are its base's; when an operator changes a
-    base's streams, its adapters are gone through once.
+    draining. An adapter has the `max_streams` of its base, so all adapters of a
+    base are updated when an operator changes this value.
 
-    The tables are hints. Not thread-safe: owned by the control thread; the
+    The tables are hints. Not thread-safe: owned by the control thread. The
     tables may be read by any thread.
 */
 class routing_table_builder
@@ -32,24 +31,25 @@
     routing_table_builder(routing_table_builder&&) noexcept;
     routing_table_builder& operator=(routing_table_builder&&) noexcept;
 
-    /// Takes a whole state over, as at the start or from a checkpoint.
+    /// Replaces all content by that of a state, as at the start or after a
+    /// checkpoint was restored.
     void rebuild(const fleet_state& state);
 
-    /// Takes the changes of the state's last `apply` over.
+    /// Applies the changes of the state's last `apply`.
     void update(const fleet_state& state);
 
-    /// Notes whether the log could be read lately.
+    /// Sets whether the log was read recently.
     void set_log_available(bool available);
 
-    /** Takes over what standing grants serve or may serve.
+    /** Sets the models that standing grants serve or may serve.
 
-        @param state The state as of now.
-        @param hints All that hold now, by servable.
+        @param state The current state.
+        @param hints All current hints, sorted by servable.
     */
     void
     set_grants(const fleet_state& state, std::span<const grant_hint> hints);
 
-    /// @return The table as of now; the one before when nothing changed.
+    /// @return The current table; the previous one if nothing changed.
     routing_table_ptr table();
 
 private:
--- a/include/roseworks/servable_name.hpp
+++ b/include/roseworks/servable_name.hpp
@@ -9,10 +9,11 @@
 namespace roseworks
 {
 
-/** The name of a model or adapter, at most 255 bytes: 16 bytes in a table.
+/** The name of a model or adapter, at most 255 bytes. The object has 16 bytes.
 
-    Owns a copy of its characters, or borrows them from one who outlives it:
-    the 87,000 names of a routing table are the fold's own.
+    Owns a copy of its characters or borrows them from an object that outlives
+    it. The 87,000 names of a routing table are borrowed from the fold, so that
+    they aren't copied.
 */
 class servable_name
 {
@@ -21,7 +22,7 @@
 
     servable_name() = default;
 
-    /// A copy of its own; what is beyond `max_length` is cut off.
+    /// Copies the value, truncated to `max_length` bytes.
     servable_name(std::string_view value)
         : size(static_cast<std::uint8_t>(value.substr(0, max_length).size()))
         , owned(true)
@@ -41,6 +42,7 @@
     {
     }
 
+    /// Refers to the value's characters without copying them.
     /// @param value Must outlive the result and all its copies.
     static servable_name borrow(std::string_view value)
     {
--- a/include/roseworks/specs.hpp
+++ b/include/roseworks/specs.hpp
@@ -12,24 +12,26 @@
 namespace roseworks
 {
 
-/// What operators declare. Each spec is the content of one entity's record;
-/// names are unique within a kind. Memory in MiB, times in milliseconds.
+/// Specs are declared by operators. Each spec is the content of one entity's
+/// record. Names are unique within a kind. Memory is in MiB, times are in
+/// milliseconds.
 
 /// A base model at one version.
 struct model_spec
 {
     std::string version = "1";
     std::uint32_t memory_mib = 0;
-    std::uint16_t min_replicas = 0; ///< kept ready even when idle
+    std::uint16_t min_replicas = 0; ///< kept ready even if idle
     std::uint16_t max_replicas = 1; ///< never exceeded
-    std::uint16_t accelerators = 1; ///< held by one replica
-    std::uint16_t max_streams = 8;  ///< concurrent requests a replica takes
-    std::uint32_t load_estimate_ms = 10000; ///< from remote, at full speed
+    std::uint16_t accelerators = 1; ///< used by one replica
+    std::uint16_t max_streams = 8;  ///< concurrent requests per replica
+    /// Load time from the remote weight store at full speed.
+    std::uint32_t load_estimate_ms = 10000;
 
     bool operator==(const model_spec&) const = default;
 };
 
-/// An adapter, loaded beside a replica of its base model.
+/// An adapter. It is loaded on the same engine as a replica of its base model.
 struct adapter_spec
 {
     std::string base; ///< name of the base model
@@ -42,7 +44,7 @@
     bool operator==(const adapter_spec&) const = default;
 };
 
-/// Whether an engine refuses orders with an old fencing number.
+/// Whether an engine checks fencing numbers and refuses orders with an old one.
 enum class fencing_kind : std::uint8_t
 {
     checks,
@@ -59,7 +61,7 @@
     std::uint16_t accelerators = 1;
     fencing_kind fencing = fencing_kind::ignores;
     bool checks_credential = false;
-    bool draining = false; ///< operator's wish: no new work
+    bool draining = false; ///< set by an operator: no new requests or loads
 
     bool operator==(const engine_spec&) const = default;
 };
@@ -74,12 +76,12 @@
     bool operator==(const service_backend&) const = default;
 };
 
-/// A plain service beside the engines.
+/// A plain service, which isn't a model engine.
 struct service_spec
 {
     std::vector<service_backend> backends;
-    bool repeatable = false;        ///< calls may be sent again
-    std::uint16_t max_streams = 64; ///< concurrent calls a backend takes
+    bool repeatable = false;        ///< calls may be retried
+    std::uint16_t max_streams = 64; ///< concurrent calls per backend
 
     bool operator==(const service_spec&) const = default;
 };
@@ -95,18 +97,18 @@
     bool operator==(const caller_spec&) const = default;
 };
 
-/// How replicas are held, evicted and loaded ahead; see
-/// `make_placement_strategy`.
+/// How replicas are held, evicted and preloaded; see `make_placement_strategy`.
 enum class placement_kind : std::uint8_t
 {
-    unset,      ///< each router's own setting
-    fixed_ttl,  ///< one time to live for all, least recently used goes first
-    break_even, ///< idle cost against reload cost, by the mean gap of uses
-    gap_cost,   ///< what would have cost least over the past gaps
-    gap_cost_preload ///< the same, and periodic callers' models loaded ahead
+    unset,     ///< the router's own setting applies
+    fixed_ttl, ///< one time to live for all; evicts least recently used first
+    /// Weighs idle cost against reload cost by the mean gap between uses.
+    break_even,
+    gap_cost, ///< the hold with the least cost over the past gaps between uses
+    gap_cost_preload ///< as `gap_cost`, and preloads models of periodic callers
 };
 
-/// @return The word used in records and figures.
+/// @return The word used in records and reports.
 constexpr std::string_view to_string(placement_kind kind)
 {
     switch (kind)
@@ -125,20 +127,21 @@
     return "unset";
 }
 
-/// One deployment's policy; a single entity named `policy`.
+/// Policy of the deployment: a single entity named `policy`.
 struct policy_spec
 {
-    std::uint16_t idle_weight =
-        50; ///< 0: only cold starts count, 100: only idle hours
+    /// 0: only cold starts count, 100: only idle hours.
+    std::uint16_t idle_weight = 50;
     std::uint16_t store_slots = 4;
     std::uint16_t store_loads_per_second = 8;
     std::uint32_t claim_horizon_ms = 7'200'000;
     std::uint32_t crash_block_ms = 600'000;
-    std::uint16_t crash_threshold = 2; ///< crashes before a request is blocked
+    /// Crashes after which a request is blocked.
+    std::uint16_t crash_threshold = 2;
     /// The same strategy on every router; since schema 3.
     placement_kind strategy = placement_kind::unset;
-    /// Hold of a model that loads in 10 s at equal weights, or the fixed time
-    /// to live; 0: each router's own setting. Since schema 3.
+    /// Hold of a model that loads in 10 s at equal weights, or the time to live
+    /// of `fixed_ttl`; 0: the router's own setting applies. Since schema 3.
     std::uint32_t hold_ms = 0;
 
     bool operator==(const policy_spec&) const = default;
@@ -171,9 +174,9 @@
 }
 
 /// Newest schema of entity specs that this program reads and writes. In
-/// schema 1 a model or adapter has one number `replicas`; it is read as
-/// `max_replicas` with `min_replicas` 0. Before schema 3 a policy names no
-/// placement strategy; it is read as `unset`.
+/// schema 1 a model or adapter has only a number `replicas`, which is read as
+/// `max_replicas` with `min_replicas` 0. Before schema 3 a policy has no
+/// placement strategy, which is read as `unset`.
 inline constexpr std::uint16_t newest_entity_schema = 3;
 
 } // namespace roseworks
--- a/include/roseworks/verdict.hpp
+++ b/include/roseworks/verdict.hpp
@@ -8,9 +8,9 @@
 
 /** Whether a request may have run on a backend server.
 
-    Returned by everything that touches a backend server. `not_run` is a
-    promise: it is only said when no byte of the request can have reached a
-    backend server, or the server itself said that it did not run.
+    Returned by all code that calls a backend server. `not_run` is a guarantee:
+    it is returned only if no byte of the request can have reached a backend
+    server, or the server itself reported that the request did not run.
 */
 enum class verdict : std::uint8_t
 {
@@ -28,21 +28,21 @@
     unknown_service,
     deadline,           ///< it can't start before its deadline
     queue_full,         ///< a queue or memory limit is reached
-    displaced,          ///< more urgent work took its place
-    caller_limit,       ///< the caller is over its own limits
+    displaced,          ///< replaced in the queue by a more urgent request
+    caller_limit,       ///< the caller exceeds its own limits
     no_capacity,        ///< no replica, and none can be decided now
-    log_unavailable,    ///< nothing can be decided while the log is away
+    log_unavailable,    ///< nothing can be decided while the log is unavailable
     claim_held,         ///< another call holds the idempotency key
     claim_expired,      ///< the key is older than the claim horizon
     blocked,            ///< the request has crashed backend servers
     draining,           ///< this router is shutting down
     backend_failed,     ///< the backend server failed
-    backend_timeout,    ///< the backend server made no progress
+    backend_timeout,    ///< the backend server made no progress in time
     retries_exhausted,  ///< the retry budget is empty
-    stream_cut,         ///< a stream ended midway and can't be resumed
-    key_reused,         ///< the idempotency key is of a call with other content
-    unknown_key,        ///< no organisation holds the caller's API key
-    organisation_limit, ///< the organisation has used what it may
+    stream_cut,         ///< a stream broke off and can't be resumed
+    key_reused,         ///< the idempotency key was used for other content
+    unknown_key,        ///< no organisation has the caller's API key
+    organisation_limit, ///< the organisation has reached its limit
     outdated            ///< this router lacks a configuration that others have
 };
 
@@ -114,7 +114,7 @@
     return "unknown";
 }
 
-/// Who is served first. Lower values go first.
+/// Priority of a request. Lower values are served first.
 enum class priority : std::uint8_t
 {
     urgent,
