--- a/docs/embedding/example.cpp
+++ b/docs/embedding/example.cpp
@@ -76,18 +76,18 @@
 
     engine_report report(engine_id id, instant now) const
     {
-        engine_report seen;
-        seen.engine = id;
-        seen.reachable = true;
-        seen.incarnation = 1;
+        engine_report result;
+        result.engine = id;
+        result.reachable = true;
+        result.incarnation = 1;
         if (!this->loaded.replica)
-            return seen;
+            return result;
         const bool ready = now >= this->ready_at;
-        seen.memory_used_mib = this->loaded.memory_mib;
-        seen.residents.push_back(this->loaded);
-        seen.residents.back().state =
+        result.memory_used_mib = this->loaded.memory_mib;
+        result.residents.push_back(this->loaded);
+        result.residents.back().state =
             ready ? replica_state::ready : replica_state::loading;
-        return seen;
+        return result;
     }
 
     std::uint32_t loads = 0;
@@ -105,10 +105,12 @@
 {
 public:
     embedded_router(
-        const std::string& name, memory_log& shared_log, memory_engine& only)
+        const std::string& name,
+        memory_log& shared_log,
+        memory_engine& shared_engine)
         : log(shared_log)
-        , engine(only)
-        , control(settings_of(name))
+        , engine(shared_engine)
+        , control(make_options(name))
     {
     }
 
@@ -116,7 +118,7 @@
     {
         this->control.start(fleet_state{}, wall(now), now);
         this->builder.rebuild(this->control.state());
-        this->carry_out_all(now);
+        this->execute_commands(now);
     }
 
     /// Reads the log, advances the controller's time and executes its commands.
@@ -124,7 +126,7 @@
     {
         this->read_log(now);
         this->control.tick(wall(now), now);
-        this->carry_out_all(now);
+        this->execute_commands(now);
     }
 
     /// Reports to the controller that a request for the model is waiting.
@@ -134,7 +136,7 @@
         what.servable = this->control.state().find_servable(model);
         what.waiting = 1;
         this->control.demanded(what, now);
-        this->carry_out_all(now);
+        this->execute_commands(now);
     }
 
     /// Passes on which sessions are alive. A hint; normally from `membership`.
@@ -164,7 +166,7 @@
     std::vector<forward_demand> forwarded;
 
 private:
-    static controller::options settings_of(const std::string& name)
+    static controller::options make_options(const std::string& name)
     {
         controller::options settings;
         settings.name = name;
@@ -194,7 +196,7 @@
         this->control.log_read({}, this->log.next(), wall(now), now);
     }
 
-    void carry_out_all(instant now)
+    void execute_commands(instant now)
     {
         for (auto commands = this->control.take_commands(); !commands.empty();
              commands = this->control.take_commands())
@@ -203,20 +205,20 @@
                 std::visit(
                     [this, now](auto& what)
                     {
-                        this->carry_out(what, now);
+                        this->execute(what, now);
                     },
                     command);
         }
     }
 
-    void carry_out(append_batch& batch, instant now)
+    void execute(append_batch& batch, instant now)
     {
         for (std::vector<std::byte>& entry : batch.entries)
             this->log.append(std::move(entry));
         this->control.append_answered(batch.batch, append_outcome::done, now);
     }
 
-    void carry_out(const engine_order& order, instant now)
+    void execute(const engine_order& order, instant now)
     {
         // Checked right before sending, since the lease may have expired.
         const order_outcome outcome = this->control.may_send(order, now)
@@ -225,20 +227,20 @@
         this->control.order_answered(order.order, outcome, now);
     }
 
-    void carry_out(const read_engine& what, instant now)
+    void execute(const read_engine& what, instant now)
     {
         this->control.engine_read(this->engine.report(what.engine, now), now);
     }
 
-    void carry_out(const forward_demand& what, instant)
+    void execute(const forward_demand& what, instant)
     {
         this->forwarded.push_back(what);
     }
 
     /// A hint for `gap_cost_preload`, which this example doesn't use.
-    void carry_out(const forward_visit&, instant) {}
+    void execute(const forward_visit&, instant) {}
 
-    void carry_out(const folded_record& folded, instant)
+    void execute(const folded_record& folded, instant)
     {
         if (!std::holds_alternative<replica_decide>(folded.value.payload))
             return;
@@ -249,17 +251,17 @@
     }
 
     // A program that serves requests passes the new table to its dispatcher.
-    void carry_out(const publish_table&, instant) {}
+    void execute(const publish_table&, instant) {}
 
     // This example doesn't claim keys, leave or write checkpoints.
-    void carry_out(const claim_result&, instant) {}
+    void execute(const claim_result&, instant) {}
 
-    void carry_out(const left&, instant) {}
+    void execute(const left&, instant) {}
 
-    void carry_out(const divergence_alarm&, instant) {}
-    void carry_out(const grants_seen&, instant) {}
+    void execute(const divergence_alarm&, instant) {}
+    void execute(const grants_seen&, instant) {}
 
-    void carry_out(const entry_skipped&, instant) {}
+    void execute(const entry_skipped&, instant) {}
 
     memory_log& log;
     memory_engine& engine;
@@ -268,10 +270,9 @@
     routing_table_ptr table;
 };
 
-/// @return An operator's change that declares an engine and a model with at
-/// most
-///         one replica.
-std::vector<std::byte> operators_record()
+/// @return An operator's change that declares an engine, and a model with at
+///         most one replica.
+std::vector<std::byte> make_configuration_record()
 {
     engine_spec engine;
     engine.address = "127.0.0.1:9000";
@@ -312,7 +313,7 @@
 
 /// @return Whether both routers have the same state and a route to the same
 ///         replica.
-bool agree(embedded_router& left, embedded_router& right)
+bool route_to_same_replica(embedded_router& left, embedded_router& right)
 {
     const servable_routes* here = left.routes("tea");
     const servable_routes* there = right.routes("tea");
@@ -328,7 +329,7 @@
 {
     memory_log log;
     memory_engine engine;
-    log.append(operators_record());
+    log.append(make_configuration_record());
 
     instant now{1s};
     embedded_router first("r1", log, engine);
@@ -337,7 +338,8 @@
     second.start(now);
 
     const instant end = now + 20s;
-    for (; now < end && !agree(first, second); now += step_length)
+    for (; now < end && !route_to_same_replica(first, second);
+         now += step_length)
     {
         first.step(now);
         second.step(now);
@@ -350,9 +352,10 @@
         deliver(second, first, now);
     }
 
-    if (!agree(first, second) || engine.loads != 1)
+    if (!route_to_same_replica(first, second) || engine.loads != 1)
     {
-        std::cout << "no agreement; " << engine.loads << " loads\n";
+        std::cout << "no common route after exactly one load; " << engine.loads
+                  << " loads\n";
         return 1;
     }
     const route& ready = first.routes("tea")->ready.front();
