--- a/include/roseworks/checkpoint.hpp
+++ b/include/roseworks/checkpoint.hpp
@@ -45,7 +45,7 @@
     @return            At least one chunk.
 */
 std::vector<checkpoint_chunk>
-cut_checkpoint(const checkpoint& whole, std::size_t chunk_bytes);
+split_checkpoint(const checkpoint& whole, std::size_t chunk_bytes);
 
 /** Rebuild the state of a checkpoint.
 
@@ -94,7 +94,7 @@
     std::size_t max_bytes;
     std::size_t held_bytes = 0;
     std::map<set_name, parts> sets;
-    std::optional<set_name> last_given;
+    std::optional<set_name> last_returned;
 };
 
 } // namespace roseworks
--- a/include/roseworks/controller.hpp
+++ b/include/roseworks/controller.hpp
@@ -285,7 +285,7 @@
         duration idle_ttl = std::chrono::minutes(5);
         duration claim_timeout = std::chrono::seconds(2);
         /// The log counts as unavailable after this time.
-        duration log_silence = std::chrono::seconds(5);
+        duration log_timeout = std::chrono::seconds(5);
         std::size_t max_batch_bytes = std::size_t(256) << 10;
         /// Records between two points at which a checkpoint may be taken.
         std::uint64_t checkpoint_records = 50'000;
@@ -299,15 +299,14 @@
         duration drain_grace = std::chrono::seconds(30);
         /// Time that each router in rendezvous order gives the one before it
         /// to propose, before it proposes itself.
-        duration proposer_patience = std::chrono::seconds(1);
+        duration proposer_timeout = std::chrono::seconds(1);
         /// A replica that was used within this time is never evicted.
         duration evict_grace = std::chrono::seconds(10);
         /// Time after a lost order answer during which the replica isn't
         /// reported gone.
-        duration order_settle = std::chrono::seconds(5);
-        /// Time limit of a load that the engine accepted, or ten times the
-        /// servable's load estimate if that is longer. Then the load has
-        /// failed.
+        duration lost_order_grace = std::chrono::seconds(5);
+        /// A load that its engine accepted counts as failed after this time, or
+        /// after ten times the servable's load estimate if that is longer.
         duration load_limit = std::chrono::seconds(60);
         /// Time limit of `leave`.
         duration leave_limit = std::chrono::seconds(30);
@@ -371,7 +370,7 @@
     instant next_tick() const;
 
     const fleet_state& state() const;
-    /// @return Whether the log was read within `log_silence`.
+    /// @return Whether the last read of the log succeeded, within `log_timeout`.
     bool log_available(instant now) const;
     /// @return Whether this router's join record is folded.
     bool joined() const;
--- a/include/roseworks/fleet_state.hpp
+++ b/include/roseworks/fleet_state.hpp
@@ -378,7 +378,7 @@
     bool blocked(fingerprint request) const;
     /// @return Number of crashes recorded for the request; 0 when it isn't
     ///         suspect.
-    std::uint32_t suspicion(fingerprint request) const;
+    std::uint32_t recorded_crashes(fingerprint request) const;
     /// Visits every suspect or blocked request, ordered by fingerprint.
     void for_each_suspect(const std::function<void(fingerprint)>& visit) const;
 
--- a/include/roseworks/names.hpp
+++ b/include/roseworks/names.hpp
@@ -19,7 +19,7 @@
 /// @return The value's word in a table that is in the order of the enumerators.
 template <std::size_t Count, class Enum>
 constexpr std::string_view
-word_in(const std::array<std::string_view, Count>& words, Enum value)
+enumerator_word(const std::array<std::string_view, Count>& words, Enum value)
 {
     const auto index = static_cast<std::size_t>(value);
     return index < Count ? words[index] : "unknown";
@@ -84,22 +84,22 @@
 
 constexpr std::string_view to_string(replica_state state)
 {
-    return detail::word_in(detail::replica_state_words, state);
+    return detail::enumerator_word(detail::replica_state_words, state);
 }
 
 constexpr std::string_view to_string(claim_outcome outcome)
 {
-    return detail::word_in(detail::claim_outcome_words, outcome);
+    return detail::enumerator_word(detail::claim_outcome_words, outcome);
 }
 
 constexpr std::string_view to_string(fold_status status)
 {
-    return detail::word_in(detail::fold_status_words, status);
+    return detail::enumerator_word(detail::fold_status_words, status);
 }
 
 constexpr std::string_view to_string(order_outcome outcome)
 {
-    return detail::word_in(detail::order_outcome_words, outcome);
+    return detail::enumerator_word(detail::order_outcome_words, outcome);
 }
 
 constexpr std::string_view to_string(order_action action)
--- a/include/roseworks/rendezvous.hpp
+++ b/include/roseworks/rendezvous.hpp
@@ -17,7 +17,7 @@
     engine_lease = 1,
     proposer = 2,
     checkpoint = 3,
-    obituary = 4 ///< who appends the `router_gone` record
+    gone_report = 4 ///< who appends the `router_gone` record
 };
 
 /// A task for which one live session is responsible.
--- a/src/app/graph_options.cpp
+++ b/src/app/graph_options.cpp
@@ -60,7 +60,7 @@
     result.engine_poll = from.engines.poll;
     result.idle_ttl = from.placement.idle_ttl;
     result.max_batch_bytes = from.log.max_batch_bytes;
-    result.log_silence =
+    result.log_timeout =
         std::max<duration>(least_silence, from.log.poll_wait + silence_slack);
     result.grants.memory_mib = from.grants.memory_mib;
     result.grants.engines = from.grants.engines;
--- a/src/core/placement/controller_events.cpp
+++ b/src/core/placement/controller_events.cpp
@@ -309,7 +309,7 @@
 bool controller::impl::available(instant now) const
 {
     return this->reachable &&
-           now < this->last_read + this->settings.log_silence;
+           now < this->last_read + this->settings.log_timeout;
 }
 
 bool controller::impl::joined() const
--- a/src/core/placement/grant_keeper.cpp
+++ b/src/core/placement/grant_keeper.cpp
@@ -201,7 +201,7 @@
             const bool arrives =
                 load.unsure &&
                 (context.state.replica(id) ||
-                 context.now < load.answered + this->settings.order_settle);
+                 context.now < load.answered + this->settings.lost_order_grace);
             return !arrives;
         });
 }
--- a/src/core/placement/order_keeper.cpp
+++ b/src/core/placement/order_keeper.cpp
@@ -115,7 +115,7 @@
 {
     this->held_engines.clear();
     this->urgent_engines.clear();
-    forget_settled(context, this->uncertain, this->settings.order_settle);
+    forget_settled(context, this->uncertain, this->settings.lost_order_grace);
     context.state.for_each_engine(
         [&](const engine_view& engine)
         {
--- a/src/core/placement/order_keeper_orders.cpp
+++ b/src/core/placement/order_keeper_orders.cpp
@@ -59,7 +59,7 @@
         });
     const auto lost = this->uncertain.find(where);
     return !ordered && (lost == this->uncertain.end() ||
-                        now >= lost->second + this->settings.order_settle);
+                        now >= lost->second + this->settings.lost_order_grace);
 }
 
 engine_order order_keeper::make_order(
--- a/src/core/placement/proposer.cpp
+++ b/src/core/placement/proposer.cpp
@@ -370,7 +370,7 @@
         track.moved + (only_crowded ? scale_up_interval : duration{}));
     // The next in line steps in when the one before it lets nothing move.
     const duration turn =
-        this->settings.proposer_patience * static_cast<duration::rep>(rank);
+        this->settings.proposer_timeout * static_cast<duration::rep>(rank);
     if (context.now < due + turn)
     {
         return;
--- a/src/core/placement/proposer_preload.cpp
+++ b/src/core/placement/proposer_preload.cpp
@@ -108,7 +108,7 @@
         context.rank(rendezvous_domain::proposer, servable.id.value);
     const instant turn =
         preloader::due_since(context.state, use) +
-        this->settings.proposer_patience * static_cast<duration::rep>(rank);
+        this->settings.proposer_timeout * static_cast<duration::rep>(rank);
     if (!servable.readable || servable.max_replicas == 0 ||
         context.now < std::max(turn, track.not_before) ||
         context.now < this->load_streaks.not_before(servable.id))
--- a/src/core/recovery/checkpoint.cpp
+++ b/src/core/recovery/checkpoint.cpp
@@ -21,7 +21,7 @@
 }
 
 std::vector<checkpoint_chunk>
-cut_checkpoint(const checkpoint& whole, std::size_t chunk_bytes)
+split_checkpoint(const checkpoint& whole, std::size_t chunk_bytes)
 {
     const std::size_t step = std::max<std::size_t>(1, chunk_bytes);
     const std::size_t size = whole.bytes.size();
@@ -87,7 +87,7 @@
         return std::nullopt;
     }
     const set_name name{part.at, part.state_hash, part.count};
-    if (this->last_given && *this->last_given == name)
+    if (this->last_returned && *this->last_returned == name)
     {
         return std::nullopt;
     }
@@ -108,7 +108,7 @@
     checkpoint whole = this->join(name);
     this->held_bytes -= whole.bytes.size();
     this->sets.erase(name);
-    this->last_given = name;
+    this->last_returned = name;
     return whole;
 }
 
--- a/src/core/recovery/checkpoint_writer.cpp
+++ b/src/core/recovery/checkpoint_writer.cpp
@@ -77,7 +77,7 @@
         return;
     }
     for (checkpoint_chunk& chunk :
-         cut_checkpoint(take_checkpoint(context.state), this->chunk_bytes))
+         split_checkpoint(take_checkpoint(context.state), this->chunk_bytes))
     {
         this->unsent.push_back(std::move(chunk));
     }
--- a/src/core/recovery/vm_watch.cpp
+++ b/src/core/recovery/vm_watch.cpp
@@ -88,7 +88,7 @@
     const control_context& context, const session_view& session)
 {
     const bool mine = rendezvous_choice(
-                          {rendezvous_domain::obituary, session.id.value},
+                          {rendezvous_domain::gone_report, session.id.value},
                           context.alive) == context.self;
     if (!mine || this->reported.contains(session.id))
     {
--- a/src/core/routing/routing_table_builder.cpp
+++ b/src/core/routing/routing_table_builder.cpp
@@ -393,7 +393,7 @@
     const bool blocked = state.blocked(request);
     this->table_draft.set_blocked(request, blocked);
     this->table_draft.set_suspect(
-        request, !blocked && state.suspicion(request) != 0);
+        request, !blocked && state.recorded_crashes(request) != 0);
 }
 
 void routing_table_builder::impl::check_expiry(const fleet_state& state)
--- a/src/core/state/fleet_state.cpp
+++ b/src/core/state/fleet_state.cpp
@@ -307,7 +307,7 @@
         visit(request);
 }
 
-std::uint32_t fleet_state::suspicion(fingerprint request) const
+std::uint32_t fleet_state::recorded_crashes(fingerprint request) const
 {
     const auto* row = this->self->data.suspects.find(request);
     return row != nullptr ? row->crashes : 0;
--- a/tests/unit/app/control_loop_test.cpp
+++ b/tests/unit/app/control_loop_test.cpp
@@ -157,7 +157,7 @@
     const checkpoint whole = take_checkpoint(state);
     std::uint64_t sequence = 100;
     constexpr std::size_t small_chunk = 64;
-    for (checkpoint_chunk& part : cut_checkpoint(whole, small_chunk))
+    for (checkpoint_chunk& part : split_checkpoint(whole, small_chunk))
         log.put(encode(made(++sequence, std::move(part))));
     return whole.at;
 }
--- a/tests/unit/control/checkpoint_test.cpp
+++ b/tests/unit/control/checkpoint_test.cpp
@@ -177,7 +177,7 @@
 {
     checkpoint whole{log_offset(9), 5, std::vector<std::byte>(1000)};
     whole.bytes[999] = std::byte(7);
-    std::vector<checkpoint_chunk> chunks = cut_checkpoint(whole, 300);
+    std::vector<checkpoint_chunk> chunks = split_checkpoint(whole, 300);
     cr_assert_eq(chunks.size(), 4);
     std::reverse(chunks.begin(), chunks.end());
     chunks.push_back(chunks.front());
@@ -192,9 +192,9 @@
 {
     const std::vector<std::byte> bytes(600);
     std::vector<checkpoint_chunk> one =
-        cut_checkpoint({log_offset(9), 5, bytes}, 300);
+        split_checkpoint({log_offset(9), 5, bytes}, 300);
     const std::vector<checkpoint_chunk> other =
-        cut_checkpoint({log_offset(9), 6, bytes}, 300);
+        split_checkpoint({log_offset(9), 6, bytes}, 300);
     one[1] = other[1];
     cr_expect(complete(one).empty());
 }
--- a/tests/unit/state/request_test.cpp
+++ b/tests/unit/state/request_test.cpp
@@ -254,7 +254,7 @@
     const engine_id engine = log.state.find_engine("e");
     const request_suspect crash{request, engine, session};
     cr_assert(accepted(log.put(crash)));
-    cr_assert_eq(log.state.suspicion(request), 1);
+    cr_assert_eq(log.state.recorded_crashes(request), 1);
     cr_assert(!log.state.blocked(request));
     cr_assert(
         log.put_record(log.records.back()).status == fold_status::duplicate);
@@ -266,7 +266,7 @@
     cr_assert(log.state.blocked(request));
     log.pass(1);
     cr_assert(!log.state.blocked(request));
-    cr_assert_eq(log.state.suspicion(request), 0);
+    cr_assert_eq(log.state.recorded_crashes(request), 0);
     cr_assert(
         log.state.changes().front().what ==
         state_change::kind::request_unblocked);
--- a/tests/unit/state/snapshot_test.cpp
+++ b/tests/unit/state/snapshot_test.cpp
@@ -101,7 +101,7 @@
     cr_assert_eq(granted, 1);
     cr_assert_eq(again->claim(claim_key{1, 3})->body, "body");
     cr_assert_eq(again->claim(claim_key{1, 3})->content, 77);
-    cr_assert_eq(again->suspicion(fingerprint(5)), 1);
+    cr_assert_eq(again->recorded_crashes(fingerprint(5)), 1);
     cr_assert(again->entity_revision(entity_kind::caller, "c2"));
     cr_assert(!again->entity(entity_kind::caller, "c2"));
 }
--- a/tools/common/state_tables.cpp
+++ b/tools/common/state_tables.cpp
@@ -264,7 +264,7 @@
         &request_suspect::request,
         [&](fingerprint request)
         {
-            const std::uint32_t crashes = state.suspicion(request);
+            const std::uint32_t crashes = state.recorded_crashes(request);
             if (crashes != 0)
             {
                 table.rows.push_back(
--- a/tools/ctl/change_commands.cpp
+++ b/tools/ctl/change_commands.cpp
@@ -159,7 +159,7 @@
     }
     BOOST_LEAF_AUTO(log, context.open_log());
     BOOST_LEAF_CHECK(log->history.load());
-    if (log->history.state().suspicion(*request) == 0)
+    if (log->history.state().recorded_crashes(*request) == 0)
     {
         return bad_input("not suspect: " + text);
     }
