--- a/include/roseworks/controller.hpp
+++ b/include/roseworks/controller.hpp
@@ -370,7 +370,7 @@
     instant next_tick() const;
 
     const fleet_state& state() const;
-    /// @return Whether the last read of the log succeeded, within `log_timeout`.
+    /// @return Whether the log is reachable and was read within `log_timeout`.
     bool log_available(instant now) const;
     /// @return Whether this router's join record is folded.
     bool joined() const;
