--- a/docs/embedding/example.cpp
+++ b/docs/embedding/example.cpp
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-/// Two routers decide one replica over a log in memory, without the daemon,
+/// Two routers decide one replica over an in-memory log, without the daemon,
 /// sockets, threads or clocks. See docs/embedding/README.md.
 
 namespace
@@ -30,7 +30,8 @@
 constexpr duration load_time = 2s;
 constexpr stamp_ms wall_start = 1'700'000'000'000;
 
-/// The log: whatever gives all routers the same entries in the same order.
+/// An in-memory log. Any log works that gives all routers the same entries in
+/// the same order.
 class memory_log
 {
 public:
@@ -40,7 +41,7 @@
             {log_offset(this->entries.size() + 1), std::move(bytes)});
     }
 
-    /// @return What stands behind an offset.
+    /// @return The entries after an offset.
     std::span<const log_entry> after(log_offset offset) const
     {
         return std::span(this->entries).subspan(offset.value);
@@ -55,7 +56,7 @@
     std::vector<log_entry> entries;
 };
 
-/// A model engine that loads what it is ordered to.
+/// A simulated model engine. Accepts every order whose fence isn't stale.
 class memory_engine
 {
 public:
@@ -75,18 +76,18 @@
 
     engine_report report(engine_id id, instant now) const
     {
-        engine_report seen;
-        seen.engine = id;
-        seen.reachable = true;
-        seen.incarnation = 1;
+        engine_report result;
+        result.engine = id;
+        result.reachable = true;
+        result.incarnation = 1;
         if (!this->loaded.replica)
-            return seen;
+            return result;
         const bool ready = now >= this->ready_at;
-        seen.memory_used_mib = this->loaded.memory_mib;
-        seen.residents.push_back(this->loaded);
-        seen.residents.back().state =
+        result.memory_used_mib = this->loaded.memory_mib;
+        result.residents.push_back(this->loaded);
+        result.residents.back().state =
             ready ? replica_state::ready : replica_state::loading;
-        return seen;
+        return result;
     }
 
     std::uint32_t loads = 0;
@@ -97,17 +98,19 @@
     instant ready_at{};
 };
 
-/// One router: the core's controller and the embedder's way to carry out its
-/// commands. What is answered at once here may come much later in a program of
-/// yours, or not at all.
+/// One router: the core's controller, and the embedding program's execution of
+/// its commands. Answers that are immediate here may arrive much later in a
+/// real program, or not at all.
 class embedded_router
 {
 public:
     embedded_router(
-        const std::string& name, memory_log& shared_log, memory_engine& only)
+        const std::string& name,
+        memory_log& shared_log,
+        memory_engine& shared_engine)
         : log(shared_log)
-        , engine(only)
-        , control(settings_of(name))
+        , engine(shared_engine)
+        , control(make_options(name))
     {
     }
 
@@ -115,28 +118,28 @@
     {
         this->control.start(fleet_state{}, wall(now), now);
         this->builder.rebuild(this->control.state());
-        this->carry_out_all(now);
+        this->execute_commands(now);
     }
 
-    /// Reads the log, tells the controller the time, does what it says.
+    /// Reads the log, advances the controller's time and executes its commands.
     void step(instant now)
     {
         this->read_log(now);
         this->control.tick(wall(now), now);
-        this->carry_out_all(now);
+        this->execute_commands(now);
     }
 
-    /// Requests for the model wait here.
+    /// Reports to the controller that a request for the model is waiting.
     void demand(const std::string& model, instant now)
     {
         servable_demand what;
         what.servable = this->control.state().find_servable(model);
         what.waiting = 1;
         this->control.demanded(what, now);
-        this->carry_out_all(now);
+        this->execute_commands(now);
     }
 
-    /// A hint of who lives, as membership gives it.
+    /// Passes on which sessions are alive. A hint; normally from `membership`.
     void peers(std::span<const session_id> alive, instant now)
     {
         this->control.peers_changed(alive, now);
@@ -152,18 +155,18 @@
         return this->control.state();
     }
 
-    /// @return Where requests of the model can go now; null when it is unknown.
+    /// @return The current routes of the model; null if it is unknown.
     const servable_routes* routes(const std::string& model)
     {
         this->table = this->builder.table();
         return this->table->find_servable(model);
     }
 
-    /// Demands for the other router, as UDP would carry them.
+    /// Demands to send to the other router; a real program sends them over UDP.
     std::vector<forward_demand> forwarded;
 
 private:
-    static controller::options settings_of(const std::string& name)
+    static controller::options make_options(const std::string& name)
     {
         controller::options settings;
         settings.name = name;
@@ -183,7 +186,7 @@
     void read_log(instant now)
     {
         const log_offset folded = this->control.state().folded();
-        // One by one, so that the routing table takes over just the changes.
+        // One entry at a time: `update` applies the changes of one `apply`.
         for (const log_entry& entry : this->log.after(folded))
         {
             this->control.log_read(
@@ -193,7 +196,7 @@
         this->control.log_read({}, this->log.next(), wall(now), now);
     }
 
-    void carry_out_all(instant now)
+    void execute_commands(instant now)
     {
         for (auto commands = this->control.take_commands(); !commands.empty();
              commands = this->control.take_commands())
@@ -202,42 +205,42 @@
                 std::visit(
                     [this, now](auto& what)
                     {
-                        this->carry_out(what, now);
+                        this->execute(what, now);
                     },
                     command);
         }
     }
 
-    void carry_out(append_batch& batch, instant now)
+    void execute(append_batch& batch, instant now)
     {
         for (std::vector<std::byte>& entry : batch.entries)
             this->log.append(std::move(entry));
         this->control.append_answered(batch.batch, append_outcome::done, now);
     }
 
-    void carry_out(const engine_order& order, instant now)
+    void execute(const engine_order& order, instant now)
     {
-        // Asked right before the bytes leave: the lease may have lapsed.
+        // Checked right before sending, since the lease may have expired.
         const order_outcome outcome = this->control.may_send(order, now)
                                           ? this->engine.order(order, now)
                                           : order_outcome::not_sent;
         this->control.order_answered(order.order, outcome, now);
     }
 
-    void carry_out(const read_engine& what, instant now)
+    void execute(const read_engine& what, instant now)
     {
         this->control.engine_read(this->engine.report(what.engine, now), now);
     }
 
-    void carry_out(const forward_demand& what, instant)
+    void execute(const forward_demand& what, instant)
     {
         this->forwarded.push_back(what);
     }
 
-    /// A hint for `gap_cost_preload`, which this fleet doesn't go by.
-    void carry_out(const forward_visit&, instant) {}
+    /// A hint for `gap_cost_preload`, which this example doesn't use.
+    void execute(const forward_visit&, instant) {}
 
-    void carry_out(const folded_record& folded, instant)
+    void execute(const folded_record& folded, instant)
     {
         if (!std::holds_alternative<replica_decide>(folded.value.payload))
             return;
@@ -247,18 +250,18 @@
                   << (accepted ? "decided" : "not decided") << '\n';
     }
 
-    // A program that serves requests hands the new table to its dispatcher.
-    void carry_out(const publish_table&, instant) {}
+    // A program that serves requests passes the new table to its dispatcher.
+    void execute(const publish_table&, instant) {}
 
-    // Nothing here claims keys, leaves, or writes checkpoints.
-    void carry_out(const claim_result&, instant) {}
+    // This example doesn't claim keys, leave or write checkpoints.
+    void execute(const claim_result&, instant) {}
 
-    void carry_out(const left&, instant) {}
+    void execute(const left&, instant) {}
 
-    void carry_out(const divergence_alarm&, instant) {}
-    void carry_out(const grants_seen&, instant) {}
+    void execute(const divergence_alarm&, instant) {}
+    void execute(const grants_seen&, instant) {}
 
-    void carry_out(const entry_skipped&, instant) {}
+    void execute(const entry_skipped&, instant) {}
 
     memory_log& log;
     memory_engine& engine;
@@ -267,8 +270,9 @@
     routing_table_ptr table;
 };
 
-/// An operator's change: an engine, and a model with one replica at most.
-std::vector<std::byte> operators_record()
+/// @return An operator's change that declares an engine, and a model with at
+///         most one replica.
+std::vector<std::byte> make_configuration_record()
 {
     engine_spec engine;
     engine.address = "127.0.0.1:9000";
@@ -297,7 +301,7 @@
     return encode(value);
 }
 
-/// Hands demands to the router that they are for.
+/// Delivers forwarded demands to the router to which they are addressed.
 void deliver(embedded_router& from, embedded_router& to, instant now)
 {
     for (const forward_demand& what : std::exchange(from.forwarded, {}))
@@ -307,8 +311,9 @@
     }
 }
 
-/// @return Whether both routers hold the same state and route to one replica.
-bool agree(embedded_router& left, embedded_router& right)
+/// @return Whether both routers have the same state and a route to the same
+///         replica.
+bool route_to_same_replica(embedded_router& left, embedded_router& right)
 {
     const servable_routes* here = left.routes("tea");
     const servable_routes* there = right.routes("tea");
@@ -324,7 +329,7 @@
 {
     memory_log log;
     memory_engine engine;
-    log.append(operators_record());
+    log.append(make_configuration_record());
 
     instant now{1s};
     embedded_router first("r1", log, engine);
@@ -333,7 +338,8 @@
     second.start(now);
 
     const instant end = now + 20s;
-    for (; now < end && !agree(first, second); now += step_length)
+    for (; now < end && !route_to_same_replica(first, second);
+         now += step_length)
     {
         first.step(now);
         second.step(now);
@@ -346,9 +352,10 @@
         deliver(second, first, now);
     }
 
-    if (!agree(first, second) || engine.loads != 1)
+    if (!route_to_same_replica(first, second) || engine.loads != 1)
     {
-        std::cout << "no agreement; " << engine.loads << " loads\n";
+        std::cout << "no common route after exactly one load; " << engine.loads
+                  << " loads\n";
         return 1;
     }
     const route& ready = first.routes("tea")->ready.front();
