--- a/src/adapters/edge/answer_header.cpp
+++ b/src/adapters/edge/answer_header.cpp
@@ -44,7 +44,7 @@
         });
 }
 
-/// Whether `Connection` names the header as belonging to the connection.
+/// Whether the `Connection` header lists this header as hop-by-hop.
 bool is_named(const http::fields& from, beast::string_view name)
 {
     return http::token_list(from[http::field::connection]).exists(name);
--- a/src/adapters/edge/answer_header.hpp
+++ b/src/adapters/edge/answer_header.hpp
@@ -13,7 +13,7 @@
 namespace roseworks::edge
 {
 
-/// What an answer has to know of its request.
+/// The properties of a request that its response depends on.
 struct answer_frame
 {
     std::string request_id;
@@ -21,14 +21,14 @@
     bool keep_alive = false;
 };
 
-/// Sets what every answer carries: the request's id and the verdict.
+/// Sets the headers of every response: the request id and the verdict.
 void stamp(http::fields& header, std::string_view request_id, verdict outcome);
 
-/// Copies a backend server's header without what belongs to its connection
-/// or is the router's to say.
+/// Copies the headers of a backend server's response, except hop-by-hop headers
+/// and those that the router sets itself.
 void copy_end_to_end(const http::fields& from, http::fields& to);
 
-/// @return A whole answer, stamped.
+/// @return A complete response with the headers that every response has.
 whole_answer make_answer(
     const answer_frame& frame,
     unsigned status,
@@ -36,7 +36,7 @@
     std::string body,
     verdict outcome = verdict::answered);
 
-/// @return The answer with a problem's document.
+/// @return A response with the problem document as its body.
 whole_answer
 make_refusal(const answer_frame& frame, const call_problem& problem);
 
--- a/src/adapters/edge/backend_connection.cpp
+++ b/src/adapters/edge/backend_connection.cpp
@@ -20,7 +20,7 @@
 
 void set_tcp_option(int handle, int name, int value)
 {
-    // Best effort: the progress timers hold without them.
+    // Best effort: if it fails, the progress timers still end a dead call.
     ::setsockopt(handle, IPPROTO_TCP, name, &value, sizeof(value));
 }
 
--- a/src/adapters/edge/backend_connection.hpp
+++ b/src/adapters/edge/backend_connection.hpp
@@ -15,10 +15,11 @@
 namespace roseworks::edge
 {
 
-/// Bytes read ahead of a backend server at most, and its header's limit.
+/// Limit of the bytes read ahead from a backend server, and of the size of its
+/// response header.
 inline constexpr std::size_t max_buffered = std::size_t(16) << 10;
 
-/// A connection to a backend server; carries one exchange at a time.
+/// A connection to a backend server. It carries one exchange at a time.
 struct backend_connection
 {
     backend_connection(
@@ -40,24 +41,26 @@
     tls::secure_stream stream;
     beast::flat_buffer buffer;
     std::string address;  ///< ip:port
-    std::uint64_t serial; ///< later ones are higher
+    std::uint64_t serial; ///< increases with each new connection
     instant opened;
     instant last_used;                ///< end of the last exchange
     bool pooled = false;              ///< has carried an exchange before
-    const tls::connector* secured_by; ///< null: plain
+    const tls::connector* secured_by; ///< null: plain TCP
 };
 
 using backend_connection_ptr = std::unique_ptr<backend_connection>;
 
-/// @param address `ip:port`, the ip of version 6 in brackets.
-/// @param into    set when the address can be read.
-/// @return        whether it can.
+/// @param address `ip:port`; an IPv6 address is in brackets.
+/// @param into    Set if the address is valid.
+/// @return        Whether the address is valid.
 bool parse_address(const std::string& address, tcp::endpoint& into);
 
-/// Connects, sets what finds dead peers (keepalive probes and a limit on
-/// unacknowledged data), and secures the connection where it has to be.
-/// @param limit For connecting and the handshake together.
-/// @return Whether it is connected.
+/// Connects, enables the detection of dead peers (keepalive probes and
+/// `TCP_USER_TIMEOUT`), and does the TLS handshake if the connection has a
+/// connector.
+/// @param limit          Time limit for connecting and the handshake together.
+/// @param unacknowledged The value of `TCP_USER_TIMEOUT`.
+/// @return               Whether the connection is ready for use.
 asio::awaitable<bool> connect(
     backend_connection& connection,
     std::chrono::steady_clock::duration limit,
--- a/src/adapters/edge/backend_context.hpp
+++ b/src/adapters/edge/backend_context.hpp
@@ -11,8 +11,8 @@
 namespace roseworks::edge
 {
 
-/// What calls to backend servers need of their surroundings. All of it has to
-/// outlive the event loops.
+/// Options and ports shared by all calls to backend servers. The referenced
+/// objects must outlive the event loops.
 struct backend_context
 {
     backend_context(
--- a/src/adapters/edge/backend_leg.cpp
+++ b/src/adapters/edge/backend_leg.cpp
@@ -99,7 +99,8 @@
 {
     if (this->call.is_service())
         co_return true;
-    // As a probe it has to be quick; else a slow server is waited for.
+    // After a switch the cancel also probes whether the server is reachable,
+    // so it gets the short limit. Otherwise a slow server may take longer.
     const edge_options& options = this->pool.context.options;
     const cancel_end answer = co_await cancel_on(
         *this->connection,
@@ -114,7 +115,7 @@
         co_return false;
     }
     this->call.run_left_at.clear();
-    // Fresh connections work: it is the old ones that are silent.
+    // The fresh connection works, so only the older ones are silent.
     this->pool.answered(*this->connection);
     if (answer == cancel_end::kept)
         co_return true;
@@ -128,7 +129,7 @@
     const bool untouched = !this->outcome.sent && this->connection->pooled;
     if (!sent && untouched && !this->inbox.interrupted())
     {
-        // The kept connection was dead already and took no byte.
+        // The pooled connection was already closed; no byte was sent on it.
         const bool reopened = co_await this->open_new();
         if (!reopened)
             co_return;
@@ -152,7 +153,8 @@
 {
     if (this->call.run_left_at == this->target.address)
     {
-        // The cancel must not come after the new run's begin.
+        // Waits for the cancel first: if it arrived after the new run began,
+        // it would stop that run.
         const bool opened = co_await this->open_new();
         if (!opened)
             co_return false;
@@ -276,7 +278,8 @@
     this->classify();
     if (this->out.started() && this->outcome.result.how == end::answered)
     {
-        // Not the rest of the stream that the caller has begun to get.
+        // The caller has already received part of a stream; this response
+        // is not the rest of it.
         this->call.position.disable_resume();
         this->end_as(end::broken);
     }
@@ -287,7 +290,7 @@
 {
     if (!this->switched)
         return;
-    // The first of the two runs may have run whatever came of the second.
+    // Whatever the result of the second run, the first one may have run.
     const end how = this->outcome.result.how;
     if (how == end::not_sent || how == end::refused_not_run)
         this->end_as(end::no_progress);
@@ -298,7 +301,7 @@
     const auto echoed = header["X-Request-Id"];
     const std::string& wanted = this->call.headers.request_id;
     const bool same = echoed == beast::string_view(wanted);
-    // Plain services need not echo it.
+    // Services need not echo the request id, but engines must.
     if (same || (this->call.is_service() && echoed.empty()))
         return true;
     this->pool.context.observer.late_answer_dropped();
@@ -363,7 +366,8 @@
     const connection_kind kind = this->connection->pooled
                                      ? connection_kind::reused
                                      : connection_kind::fresh;
-    // Giving up early costs a call its answer unless it can be sent again.
+    // A call that cannot be sent again would lose its answer to an early
+    // time-out.
     const bool early = this->call.info.repeatable && !this->call.patient;
     this->first_byte_came = false;
     this->first_byte_limit = early ? this->pool.progress.first_byte_limit(
--- a/src/adapters/edge/backend_leg.hpp
+++ b/src/adapters/edge/backend_leg.hpp
@@ -18,36 +18,37 @@
 namespace roseworks::edge
 {
 
-/// How an attempt went.
+/// The outcome of one attempt.
 struct leg_outcome
 {
     attempt_result result;
-    bool sent = false; ///< a byte of the request was handed to the kernel
-    std::optional<whole_answer> answer; ///< when it wasn't streamed
+    bool sent = false; ///< the kernel has accepted a byte of the request
+    std::optional<whole_answer> answer; ///< unless it was streamed
 };
 
-/** One attempt at a backend server: sends the request, reads its answer.
+/** One attempt to send a request to a backend server and read its response.
 
-    Says `not_sent` only when the connection failed, or no byte of the request
-    was taken by the kernel. An answer counts as whole only when its framing
-    says so, and an engine's stream only after `[DONE]`; until then nothing of
-    an unstreamed answer is passed on. An engine's answer has to echo the
-    request's id. A body that only the connection's end ends can't be told
-    from a cut one and counts as broken, but for a stream with `[DONE]`.
+    The result is `not_sent` only if the connection failed or the kernel
+    accepted no byte of the request. A response counts as complete only if its
+    framing says so, and a stream of an engine only after `[DONE]`. A response
+    that is not streamed reaches the caller only once it is complete. The
+    response of an engine must echo the request id. A body that is delimited
+    only by the end of the connection could be truncated, so it counts as
+    broken, except for a stream with `[DONE]`.
 
-    A connection that has carried answers and goes silent is given up early
-    when the call is repeatable: a fresh one to the same server is opened, the
-    engine is told on it to stop the old run, and the request is sent again on
-    it, once. What is told of the attempt then counts for both runs. A server
-    that is silent on the fresh connection, too, ends the attempt.
+    If a pooled connection is silent and the call is repeatable, the attempt
+    times out early and switches once: it opens a fresh connection to the same
+    server, cancels the old run on it and sends the request again on it. The
+    result then covers both runs. If the fresh connection is silent too, the
+    attempt ends.
 
-    A stream that an earlier attempt has begun is gone on with when the call's
+    The attempt continues a stream that an earlier attempt began if the call's
     `position` allows it.
 
-    Memory while streaming: 16 KiB read ahead, one piece of 16 KiB, and
-    `stream_buffer_bytes` of an unfinished event; reading goes on only after
-    the caller's write has finished. The request's body is freed when a stream
-    begins that can't be gone on with elsewhere.
+    Memory while streaming: 16 KiB of read-ahead, a read buffer of 16 KiB, and
+    up to `stream_buffer_bytes` of an incomplete event. The next read starts
+    only after the write to the caller has finished. The request body is freed
+    when a stream begins that no other attempt can continue.
 */
 class backend_leg
 {
@@ -62,7 +63,7 @@
     backend_leg(const backend_leg&) = delete;
     backend_leg& operator=(const backend_leg&) = delete;
 
-    /// Runs the attempt; once per object.
+    /// Runs the attempt. Call it once per object.
     asio::awaitable<leg_outcome> run(grant where);
 
 private:
--- a/src/adapters/edge/backend_leg_stream.cpp
+++ b/src/adapters/edge/backend_leg_stream.cpp
@@ -1,4 +1,4 @@
-/// The part of a backend leg that passes an event stream on.
+/// The part of `backend_leg` that relays an event stream to the caller.
 
 #include "adapters/edge/backend_leg.hpp"
 #include "adapters/edge/sse_reader.hpp"
@@ -93,7 +93,7 @@
         co_return false;
     if (!this->call.resumable())
     {
-        // From here on it isn't sent again.
+        // The request can no longer be sent again.
         this->call.body = std::string();
     }
     const bool passed = co_await this->out.write(events);
--- a/src/adapters/edge/backend_pool.hpp
+++ b/src/adapters/edge/backend_pool.hpp
@@ -13,55 +13,61 @@
 namespace roseworks::edge
 {
 
-/** One traffic thread's idle connections to backend servers, by address.
+/** The idle connections of one traffic thread to backend servers, by address.
 
-    A connection that has gone silent is told from a slow server thus: when a
-    progress timer fires on a kept connection, the address is under suspicion,
-    and only connections opened later are used. When one of them answers, all
-    older ones are dropped; when one of them is silent too, the server is slow
-    and the suspicion is lifted. A hint; belongs to its event loop.
+    The pool distinguishes silent connections from a slow server. When a
+    progress timer expires on a reused connection, all connections to the
+    address that are open at that time become suspect, and only newer ones are
+    used. If a newer one delivers a response, the suspect ones are dropped. If
+    it is silent too, the server is slow and the suspicion is cleared. This is a
+    heuristic; no guarantee depends on it.
+
+    Not thread-safe: use it on its event loop only.
 */
 class backend_pool
 {
 public:
     backend_pool(asio::any_io_executor loop, backend_context& shared);
 
-    /// @param longest_idle since its last exchange.
-    /// @return An idle connection that is young, not suspect, and has nothing
-    ///         to read; null when there is none.
+    /// @param longest_idle Maximum time since the last exchange.
+    /// @return             An idle connection that is within the age limits,
+    ///                     is not suspect and has nothing to read; null if
+    ///                     there is none.
     backend_connection_ptr
     take(const std::string& address, duration longest_idle);
 
-    /// @return A connection that isn't connected yet.
+    /// @return A new connection object; call `connect` on it before use.
     backend_connection_ptr make(const std::string& address);
 
-    /// Keeps a connection whose exchange has ended cleanly.
+    /// Returns a connection to the pool after an exchange that ended cleanly.
     void put(backend_connection_ptr connection);
 
-    /// A whole answer came on this connection.
+    /// Records that a response header or the answer to a cancel has arrived on
+    /// this connection.
     void answered(const backend_connection& connection);
 
-    /// A progress timer ran out on this connection.
+    /// Records that a progress timer has expired on this connection.
     void silent(const backend_connection& connection);
 
-    /// Tells an engine to stop a stream, on a connection of its own; best
-    /// effort, the answer doesn't matter.
+    /// Tells an engine to stop the run of a request, on a separate connection.
+    /// Best effort: the answer is ignored.
     void cancel(const std::string& address, const std::string& request_id);
 
-    /// Drops the idle connections which have become old or readable.
+    /// Drops the idle connections that can no longer be used, such as those
+    /// that are too old or readable.
     void sweep();
 
     std::size_t idle() const;
 
     backend_context& context;
-    progress_estimator progress; ///< what this thread learnt of first bytes
+    progress_estimator progress; ///< first-byte estimates of this thread
     const asio::any_io_executor executor;
 
 private:
     struct peer
     {
         std::vector<backend_connection_ptr> idle;
-        std::uint64_t suspect = 0; ///< serials up to this aren't used
+        std::uint64_t suspect = 0; ///< serials up to this are not used
         std::uint64_t dropped = 0; ///< serials up to this are dropped
     };
 
--- a/src/adapters/edge/backend_request.hpp
+++ b/src/adapters/edge/backend_request.hpp
@@ -14,23 +14,23 @@
 namespace roseworks::edge
 {
 
-/// A request to a backend server; borrows the call's body.
+/// A request to a backend server. It refers to the body of the call.
 using backend_request = http::request<http::span_body<const char>>;
 
-/// @param call    the call; has to outlive the request.
-/// @param address the backend server's, for `Host`.
-/// @param left    time until the call's deadline.
-/// @return        what is sent to the backend server.
+/// @param call    The call; must outlive the request.
+/// @param address Address of the backend server, for `Host`.
+/// @param left    Time until the call's deadline.
+/// @return        The request to send to the backend server.
 backend_request make_backend_request(
     const prepared_call& call, const std::string& address, duration left);
 
-/// @return Whether the header announces server-sent events.
+/// @return Whether the content type is that of server-sent events.
 bool is_event_stream(const http::fields& header);
 
-/// @return Whether an engine's answer says that nothing ran.
+/// @return Whether a response of an engine says that the request did not run.
 bool says_not_run(unsigned status, std::string_view body);
 
-/// @return Whether an engine's answer says that a cancel stopped the run.
+/// @return Whether a response of an engine says that a cancel stopped the run.
 bool says_stopped(unsigned status, std::string_view body);
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/call_headers.cpp
+++ b/src/adapters/edge/call_headers.cpp
@@ -23,11 +23,11 @@
 constexpr std::size_t max_request_id = 64;
 constexpr std::size_t max_caller = 64;
 constexpr std::size_t max_idempotency_key = 128;
-/// End of the year 9999.
+/// Unix time in milliseconds at the end of the year 9999.
 constexpr stamp_ms latest_issued = 253'402'300'799'000;
 
-/// @return The value, empty when the header is missing; an error when it is
-///         there twice.
+/// @return The value, empty if the header is missing; an error if it occurs
+///         more than once.
 leaf::result<std::optional<std::string_view>>
 single(const http::fields& fields, std::string_view name)
 {
--- a/src/adapters/edge/call_headers.hpp
+++ b/src/adapters/edge/call_headers.hpp
@@ -13,23 +13,23 @@
 namespace roseworks::edge
 {
 
-/// The headers that say how a call wants to be served.
+/// The request headers that control how a call is served.
 struct call_headers
 {
     std::string request_id; ///< empty: the caller sent none
     std::chrono::milliseconds deadline{};
-    std::optional<priority> asked; ///< empty: the caller's class
+    std::optional<priority> asked; ///< empty: the highest the caller may use
     std::string caller = "anonymous";
     std::string idempotency_key; ///< empty: none
-    stamp_ms key_issued = 0;     ///< caller's clock; 0: not told
+    stamp_ms key_issued = 0;     ///< by the caller's clock; 0: not sent
 };
 
-/// Reads the headers of docs/INTERFACES.md. Each may come once at most.
-/// @param fields           the header.
-/// @param default_deadline taken when `X-Deadline-Ms` is missing.
-/// @param max_deadline     the longest that may be asked for.
-/// @return                 the values; `call_problem` with 400 which names the
-///                         header and what it takes.
+/// Parses the headers of docs/INTERFACES.md. Each may occur at most once.
+/// @param fields           The request headers.
+/// @param default_deadline Used if `X-Deadline-Ms` is missing.
+/// @param max_deadline     Maximum of `X-Deadline-Ms`.
+/// @return                 The values; `call_problem` with 400, whose detail
+///                         names the header and its valid values.
 boost::leaf::result<call_headers> parse_call_headers(
     const boost::beast::http::fields& fields,
     std::chrono::milliseconds default_deadline,
--- a/src/adapters/edge/call_identity.cpp
+++ b/src/adapters/edge/call_identity.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Starts a derived key; no caller's key holds an unprintable character.
+/// First character of a derived key. Keys sent by callers have only printable
+/// characters, so the two kinds never collide.
 constexpr char derived_mark = '\x01';
 
 std::string join(std::string_view first, std::string_view second)
--- a/src/adapters/edge/call_inbox.hpp
+++ b/src/adapters/edge/call_inbox.hpp
@@ -16,11 +16,12 @@
 namespace roseworks::edge
 {
 
-/** What one running call waits for: replies of admission, the result of its
-    claim, and its caller leaving.
+/** Delivers to one running call the events that it waits for: replies of the
+    dispatcher, the result of its claim, and the caller closing its connection.
 
-    Belongs to the call's event loop; `post_*` may be called from any thread
-    and keeps the inbox alive until the message is in.
+    Use it on the call's event loop only, except for `post_*`, which may be
+    called from any thread. These keep the inbox alive until the message has
+    been delivered.
 */
 class call_inbox : public std::enable_shared_from_this<call_inbox>
 {
@@ -30,20 +31,19 @@
     void post_reply(const dispatch_port::reply& answer);
     void post_claim(const claim_result& result);
 
-    /// The caller has closed its connection. On the event loop only.
+    /// Records that the caller has closed its connection. Event loop only.
     void caller_left();
 
-    /// The drain limit is reached: the call has to end. On the event loop
-    /// only.
+    /// Makes the call end because the drain limit is reached. Event loop only.
     void force_end();
 
-    /// The call is over: later messages mean nothing.
+    /// Records that the call has ended. Later messages are ignored.
     void finish();
 
-    /// @return The next reply; empty when the call has to end.
+    /// @return The next reply; empty if the call must end.
     asio::awaitable<std::optional<dispatch_port::reply>> next_reply();
 
-    /// @return The claim's result, also when the caller has left meanwhile.
+    /// @return The result of the claim, even if the caller has left.
     asio::awaitable<claim_result> claim_answer();
 
     bool left() const
@@ -61,17 +61,17 @@
         return this->is_finished;
     }
 
-    /// @return Whether a running attempt has to end.
+    /// @return Whether a running attempt must end.
     bool interrupted() const
     {
         return this->is_forced || (this->has_left && !this->outlives_caller);
     }
 
-    /// Interrupts the running attempt; empty when there is none.
+    /// Interrupts the running attempt; empty if there is none.
     std::function<void()> on_interrupt;
 
-    /// Whether an attempt goes on without its caller, so that its outcome
-    /// becomes known.
+    /// Whether an attempt continues after the caller has left, so that its
+    /// outcome becomes known.
     bool outlives_caller = false;
 
 private:
--- a/src/adapters/edge/call_problem.cpp
+++ b/src/adapters/edge/call_problem.cpp
@@ -95,7 +95,7 @@
     return {text.data(), text.size()};
 }
 
-/// Rounded up, so that a short wait is not told as none.
+/// Rounds up, so that a wait of less than 1 ms is not reported as 0.
 std::int64_t whole_milliseconds(duration value)
 {
     return std::chrono::ceil<std::chrono::milliseconds>(value).count();
--- a/src/adapters/edge/call_runner.cpp
+++ b/src/adapters/edge/call_runner.cpp
@@ -16,8 +16,8 @@
 
 constexpr unsigned status_no_content = 204;
 
-/// Notices that the caller closes its connection while its call runs. Touches
-/// the connection only while the call isn't finished.
+/// Detects that the caller closes its connection while its call runs. Does not
+/// access the connection after the call has finished.
 asio::awaitable<void>
 watch(caller_connection& caller, std::shared_ptr<call_inbox> inbox)
 {
@@ -59,7 +59,8 @@
     return "open";
 }
 
-/// The claim keeps no content type; JSON is told from its first character.
+/// The claim stores no content type, so JSON is recognised by its first
+/// character.
 std::string_view guess_type(std::string_view body)
 {
     const bool json = body.starts_with('{') || body.starts_with('[');
@@ -193,8 +194,8 @@
             if (const auto open = messages.lock())
                 open->post_claim(result);
         });
-    // Waited for to its end whatever happens: a claim granted to a call that
-    // has ended has to be closed.
+    // Waits for the result even if the call must end: a claim that is granted
+    // to it afterwards must still be closed.
     claim_result result = co_await this->inbox->claim_answer();
     this->claim_held = result.result == claim_result::status::granted;
     const bool late = this->call.deadline <= this->context.now();
--- a/src/adapters/edge/call_runner.hpp
+++ b/src/adapters/edge/call_runner.hpp
@@ -14,15 +14,15 @@
 namespace roseworks::edge
 {
 
-/** Takes one call from admission to its answer.
+/** Runs one call from admission to its response.
 
-    Waits for grants, claims the call's key where it has one before a byte is
-    sent, runs attempts, and tells the outcome truthfully: once a byte of the
-    call may have reached a backend server, `not run` is never said unless the
-    server itself said so.
+    It waits for grants, claims the call's key, if any, before the first byte
+    is sent, and runs attempts. Once a byte of the call may have reached a
+    backend server, the verdict is never `not run` unless the server itself
+    said so.
 
-    A claimed call goes on when its caller leaves, so that the claim can be
-    closed with its answer; other calls are stopped.
+    If the caller leaves, a claimed call continues so that the claim can be
+    closed with the answer. Other calls are stopped.
 */
 class call_runner
 {
@@ -37,11 +37,11 @@
     call_runner(const call_runner&) = delete;
     call_runner& operator=(const call_runner&) = delete;
 
-    /// Runs the call; once per object.
+    /// Runs the call. Call it once per object.
     /// @return Whether the connection may carry another request.
     asio::awaitable<bool> run();
 
-    /// The drain limit is reached: ends the call with an explicit error.
+    /// Ends the call with an explicit error because the drain limit is reached.
     void force_end()
     {
         this->inbox->force_end();
@@ -59,14 +59,15 @@
     asio::awaitable<void> send_refusal(call_problem problem);
     asio::awaitable<void> send(whole_answer answer);
 
-    /// @return The verdict, never `not_run` once something may have run.
+    /// @return The verdict, but `may_have_run` instead of `not_run` once an
+    ///         attempt may have run.
     verdict truthful(verdict told) const;
     void note_failure(verdict outcome, refusal_reason reason);
     void
     close_claim(verdict outcome, unsigned status = 0, std::string body = {});
     answer_frame frame() const;
 
-    /// For what the ports keep: it may outlive the event loop.
+    /// For handlers kept by the ports, which may outlive the event loop.
     std::weak_ptr<call_inbox> weak_inbox() const
     {
         return this->inbox;
@@ -81,8 +82,8 @@
     std::shared_ptr<call_inbox> inbox;
     stream_answer stream;
     ticket request;
-    bool claim_held = false;   ///< the claim is ours and open
-    bool may_have_run = false; ///< an attempt reached a backend server
+    bool claim_held = false;   ///< this call holds the claim, still open
+    bool may_have_run = false; ///< a server may have run an attempt
     bool connection_usable = true;
     finished_request record;
 };
--- a/src/adapters/edge/caller_connection.hpp
+++ b/src/adapters/edge/caller_connection.hpp
@@ -20,46 +20,47 @@
 using caller_parser = http::request_parser<http::string_body>;
 using whole_answer = http::response<http::string_body>;
 
-/// What a read from the caller led to.
+/// The result of a read from the caller.
 struct caller_read
 {
     enum class status : std::uint8_t
     {
         done,
-        closed,   ///< nothing more can be read or answered
-        malformed ///< answer with the problem, then close
+        closed,   ///< nothing more can be read or written
+        malformed ///< respond with the problem, then close
     };
 
     status result = status::done;
     call_problem problem;
 };
 
-/** One caller's connection: reads requests, writes whole answers.
+/** The connection of one caller: reads requests and writes responses.
 
-    Holds bytes read ahead, at most a head's limit between two requests.
+    Between two requests it buffers read-ahead bytes, at most the size limit of
+    a request head.
 */
 class caller_connection
 {
 public:
     caller_connection(tcp::socket accepted, const edge_options& limits);
 
-    /// Secures the connection, before anything is read.
-    /// @return Whether it may be used.
+    /// Does the TLS handshake. Call it before the first read.
+    /// @return Whether the connection can be used.
     asio::awaitable<bool> secure(tls::context_ptr certificate);
 
-    /// Reads and checks a request's head.
-    /// @param parser takes the head; without eager reading.
-    /// @param idle   how long to wait for the request's first byte.
+    /// Reads and checks the head of a request.
+    /// @param parser Receives the head; must not have the eager option set.
+    /// @param idle   Time limit for the first byte of the request.
     asio::awaitable<caller_read>
     read_head(caller_parser& parser, std::chrono::milliseconds idle);
 
-    /// Reads the rest of the request, after its head was accepted.
+    /// Reads the rest of a request whose head was accepted.
     asio::awaitable<caller_read> read_body(caller_parser& parser);
 
-    /// @return Whether the whole answer was handed to the kernel.
+    /// @return Whether the kernel has accepted the whole response.
     asio::awaitable<bool> write(whole_answer& answer);
 
-    /// Answers a HEAD request: the header alone.
+    /// Writes the header only, in response to a HEAD request.
     asio::awaitable<bool> write_head_only(const whole_answer& answer);
 
     /// Starts the time limit of one write.
@@ -68,24 +69,25 @@
         this->stream.expires_after(this->options.write_timeout);
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes without any framing.
     asio::awaitable<bool> write_raw(std::string_view bytes);
 
-    /// Ends the connection so that the last answer isn't lost to a reset:
-    /// reads away for a short time what the caller still sends.
+    /// Closes the connection after reading and discarding what the caller still
+    /// sends, up to a time and size limit. Closing with unread data would reset
+    /// the connection, and the caller could lose the last response.
     asio::awaitable<void> linger_close();
 
-    /// @return Whether the caller has closed its side. False while pipelined
-    ///         bytes hide that.
+    /// @return Whether the caller has closed its side. False while unread
+    ///         pipelined bytes precede the close.
     bool peer_closed();
 
-    /// @return Whether no request has begun.
+    /// @return Whether the connection is waiting for a request.
     bool idle() const
     {
         return this->between_requests;
     }
 
-    /// Ends the wait for a request unless one has begun to come in.
+    /// Ends the wait for a request unless bytes of one have arrived.
     void stop_waiting();
 
     tls::secure_stream stream;
--- a/src/adapters/edge/caller_session.cpp
+++ b/src/adapters/edge/caller_session.cpp
@@ -23,10 +23,12 @@
 {
 
 constexpr std::size_t max_request_id = 64;
-/// For the request of a connection that was open before the drain.
+/// Time limit during a drain for the first byte of a request on a connection
+/// that is already open.
 constexpr std::chrono::milliseconds drain_idle{500};
-/// Kept of a deadline for the answer's way to the caller, so that a refusal at
-/// the last moment still arrives in time; of short ones only a share.
+/// Part of the deadline reserved for sending the response, so that a refusal at
+/// the last moment still reaches the caller in time. For short deadlines it is
+/// at most the whole divided by `answer_share`.
 constexpr std::chrono::milliseconds answer_margin{25};
 constexpr int answer_share = 20;
 
@@ -41,7 +43,8 @@
     return {text.data(), text.size()};
 }
 
-/// The id to be echoed in a refusal, when the caller's can be used.
+/// The request id to echo in an error response; empty if the caller sent none
+/// or an invalid one.
 std::string id_of(const http::fields& header)
 {
     const std::string_view id = view(header["X-Request-Id"]);
@@ -72,7 +75,7 @@
     return make_problem(refusal_reason::none, verdict::not_run);
 }
 
-/// @return The problem of a failed parse, empty when it succeeded.
+/// @return The problem of a failed parse, empty if it succeeded.
 template <class Parse>
 std::optional<call_problem> problem_of(Parse parse)
 {
--- a/src/adapters/edge/caller_session.hpp
+++ b/src/adapters/edge/caller_session.hpp
@@ -11,24 +11,25 @@
 namespace roseworks::edge
 {
 
-/// One caller's connection, request after request.
+/// Serves the requests of one caller connection in order.
 class caller_session
 {
 public:
     caller_session(
         edge_context& shared, backend_pool& connections, tcp::socket socket);
 
-    /// Serves until the connection ends.
+    /// Serves requests until the connection ends.
     asio::awaitable<void> run();
 
-    /// Answers that too many connections are open, and closes.
+    /// Responds that too many connections are open, then closes.
     asio::awaitable<void> turn_away();
 
-    /// The router drains: closes the connection when it is idle; otherwise
-    /// the running request's answer closes it.
+    /// Starts draining: closes the connection if it is idle. Otherwise it is
+    /// closed after the response to the running request.
     void start_drain();
 
-    /// The drain limit is reached.
+    /// Ends the running call with an explicit error, or closes the connection
+    /// if there is none.
     void force_end();
 
 private:
--- a/src/adapters/edge/completion_body.cpp
+++ b/src/adapters/edge/completion_body.cpp
@@ -29,8 +29,9 @@
 constexpr std::int64_t max_max_tokens = 1'000'000;
 constexpr std::size_t head_bytes = 256;
 
-/// Gathers the prompt's size and its head, and names the prefix as engines do
-/// in their cache events: the XXH64 of model, line feed and head.
+/// Computes the size of the prompt and the hash of its prefix. The hash is the
+/// same as in the cache events of engines: XXH64 of the model name, a line feed
+/// and the first 256 bytes of the prompt.
 class prompt_digest
 {
 public:
@@ -84,8 +85,8 @@
     return {};
 }
 
-/// A part of a message's content; its `text` counts, other parts are the
-/// engine's matter.
+/// Reads one part of a message's content. Only `text` is digested; the engine
+/// validates the other members.
 leaf::result<void> read_part(const json::value& part, prompt_digest& digest)
 {
     const json::object* const object = part.if_object();
--- a/src/adapters/edge/edge_context.cpp
+++ b/src/adapters/edge/edge_context.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Spreads consecutive numbers over 64 bits, one to one (splitmix64).
+/// The bijective mixing function of splitmix64.
 std::uint64_t mix(std::uint64_t value)
 {
     value += 0x9E3779B97F4A7C15ULL;
--- a/src/adapters/edge/edge_context.hpp
+++ b/src/adapters/edge/edge_context.hpp
@@ -24,7 +24,8 @@
 namespace roseworks::edge
 {
 
-/// What the edge works with. All of it has to outlive the event loops.
+/// The ports and callbacks that the edge uses. The referenced objects must
+/// outlive the event loops.
 struct edge_dependencies
 {
     dispatch_port& dispatch;
@@ -34,13 +35,14 @@
     event_sink& events;
     clock_port& clock;
     std::function<routing_table_ptr()> table; ///< newest; null: none yet
-    /// Certificate for a new caller, called on any thread; empty: plain HTTP.
+    /// Returns the TLS context for a new caller connection. Called on any
+    /// traffic thread. Empty: plain HTTP.
     std::function<tls::context_ptr()> certificate;
-    /// Secures connections to backend servers; null: plain HTTP.
+    /// Does the TLS handshake with backend servers; null: plain HTTP.
     const tls::connector* backend_tls = nullptr;
 };
 
-/// Shared by the traffic threads of one server.
+/// State shared by the traffic threads of one server.
 struct edge_context : backend_context
 {
     edge_context(edge_options settings, edge_dependencies dependencies)
@@ -58,7 +60,7 @@
     std::atomic<bool> draining{false};
     std::atomic<std::size_t> connections{0};
 
-    /// @return A request id not given before in this run.
+    /// @return A request id that is unique within this run of the process.
     std::string next_request_id();
 
 private:
--- a/src/adapters/edge/edge_options.hpp
+++ b/src/adapters/edge/edge_options.hpp
@@ -8,7 +8,7 @@
 namespace roseworks::edge
 {
 
-/// Limits and timeouts of the edge. Times are wall lengths, sizes bytes.
+/// Limits and timeouts of the edge. Sizes are in bytes.
 struct edge_options
 {
     using milliseconds = std::chrono::milliseconds;
@@ -20,28 +20,34 @@
     milliseconds default_deadline{60'000};
     milliseconds max_deadline{3'600'000};
     milliseconds caller_idle{60'000};   ///< between two requests
-    milliseconds head_timeout{10'000};  ///< for a whole head
-    milliseconds body_timeout{30'000};  ///< for a whole body
-    milliseconds write_timeout{30'000}; ///< for one piece of an answer
+    milliseconds head_timeout{10'000};  ///< for a whole request head
+    milliseconds body_timeout{30'000};  ///< for a whole request body
+    milliseconds write_timeout{30'000}; ///< for one write of a response
 
     // Backend servers.
     milliseconds connect_timeout{1'000};
     milliseconds first_byte_timeout{30'000};
     milliseconds idle_byte_timeout{10'000};
     milliseconds connection_max_age{60'000};
-    milliseconds connection_max_idle{5'000}; ///< before it is used again
-    milliseconds proof_of_life{500};         ///< for calls never sent twice
-    milliseconds unacknowledged{5'000};      ///< data at most, before a reset
+    milliseconds connection_max_idle{5'000}; ///< before reuse
+    /// Replaces `connection_max_idle` for calls that are not repeatable. A
+    /// lower limit makes it less likely that the server has closed the
+    /// connection.
+    milliseconds proof_of_life{500};
+    /// Time that sent data may stay unacknowledged before the connection fails.
+    milliseconds unacknowledged{5'000};
     milliseconds cancel_timeout{2'000};
     std::size_t max_idle_connections = 16; ///< per address and thread
     std::size_t max_answer_bytes = std::size_t(8) << 20; ///< when not streamed
-    std::size_t stream_buffer_bytes = std::size_t(64) << 10; ///< one event
+    std::size_t stream_buffer_bytes = std::size_t(64)
+                                      << 10; ///< per incomplete event
 
     // Claims.
     std::size_t max_kept_answer_bytes = std::size_t(2) << 10;
     milliseconds claim_retry_after{1'000};
 
-    std::uint64_t id_seed = 1; ///< random; makes this run's request ids
+    std::uint64_t id_seed =
+        1; ///< random; prefix of the request ids of this run
 };
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/engine_cancel.hpp
+++ b/src/adapters/edge/engine_cancel.hpp
@@ -8,22 +8,22 @@
 namespace roseworks::edge
 {
 
-/// How an engine took a cancel.
+/// The result of a cancel request to an engine.
 enum class cancel_end : std::uint8_t
 {
-    unreachable, ///< it didn't connect or didn't answer
-    answered,    ///< it answered; the connection can't be used again
-    kept         ///< it answered, and the connection can be used
+    unreachable, ///< the request or its response failed
+    answered,    ///< it responded; the connection is not reusable
+    kept         ///< it responded; the connection is reusable
 };
 
-/// Tells an engine to stop a request's run on an open connection.
+/// Tells an engine, on an open connection, to stop the run of a request.
 asio::awaitable<cancel_end> cancel_on(
     backend_connection& connection,
     const std::string& request_id,
     std::chrono::steady_clock::duration limit);
 
-/// The same on a connection of its own; best effort. Owns all that it uses, so
-/// that it may outlive the pool.
+/// Connects and sends a cancel request, best effort. It owns everything that it
+/// uses, so it may outlive the pool.
 asio::awaitable<void> send_cancel(
     backend_connection_ptr connection,
     std::string request_id,
--- a/src/adapters/edge/head_scan.hpp
+++ b/src/adapters/edge/head_scan.hpp
@@ -7,12 +7,13 @@
 namespace roseworks::edge
 {
 
-/** Looks over the bytes of a request's head before the HTTP parser sees them.
+/** Validates the bytes of a request head before the HTTP parser reads them.
 
-    Beast's parser is lenient where two parsers may disagree on where a request
-    ends. This refuses these shapes: obsolete line folding, a bare CR or LF,
-    control characters, and empty lines before the request line. Linear in
-    the head's size, however the bytes arrive.
+    Beast's parser accepts some heads on which two parsers may disagree about
+    where the request ends (request smuggling). This class rejects them:
+   obsolete line folding, a bare CR or LF, control characters, and empty lines
+   before the request line. The time is linear in the size of the head, however
+   the bytes are split into reads.
 */
 class head_scan
 {
@@ -20,21 +21,21 @@
     enum class status : std::uint8_t
     {
         need_more,
-        complete, ///< `size()` bytes are a whole head
-        malformed ///< `fault()` says why
+        complete, ///< the first `size()` bytes are a whole head
+        malformed ///< `fault()` describes the error
     };
 
-    /// @param head all bytes received so far, from the request's first.
-    /// @return     what is known of the head.
+    /// @param head All bytes of the request received so far.
+    /// @return     The status of the head.
     status feed(std::string_view head);
 
-    /// @return Bytes of the head, with its empty line.
+    /// @return Size of the head in bytes, including the final empty line.
     std::size_t size() const
     {
         return this->position;
     }
 
-    /// @return What is malformed.
+    /// @return Description of the error if the head is malformed.
     std::string_view fault() const
     {
         return this->what;
--- a/src/adapters/edge/introspection_port.hpp
+++ b/src/adapters/edge/introspection_port.hpp
@@ -5,14 +5,14 @@
 namespace roseworks::edge
 {
 
-/// Port: what the router says of itself. Called from every traffic thread;
+/// Port: reports the state of the router. Called from every traffic thread;
 /// must not block.
 class introspection_port
 {
 public:
     virtual ~introspection_port() = default;
 
-    /// @return Whether the log is folded and requests may come.
+    /// @return Whether the log has been replayed and requests can be accepted.
     virtual bool ready() const = 0;
 
     /// @return Prometheus text for `/metrics`.
--- a/src/adapters/edge/net.hpp
+++ b/src/adapters/edge/net.hpp
@@ -5,7 +5,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-/// Short names of the networking libraries, for the edge's sources.
+/// Namespace aliases and helpers for Asio and Beast.
 
 namespace boost::beast::http
 {
@@ -19,10 +19,10 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-/// Awaits an operation and returns its error as a value.
+/// Completion token: returns the error as a value instead of throwing.
 inline constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
 
-/// Opens an acceptor at an address, for connections that are to be accepted.
+/// Opens an acceptor, binds it to an endpoint and starts to listen.
 inline boost::system::error_code
 listen_at(tcp::acceptor& acceptor, const tcp::endpoint& endpoint)
 {
--- a/src/adapters/edge/prepared_call.cpp
+++ b/src/adapters/edge/prepared_call.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// What the caller asks for, never above its own class.
+/// The priority that the caller requests, capped at the highest it may use.
 priority asked_priority(const prepared_call& call, const routing_table* table)
 {
     const caller_spec* const spec =
@@ -39,7 +39,7 @@
         !has_key && (!call.is_service() || service_is_repeatable(call, table));
     if (call.info.repeatable)
         return;
-    // A service's name and a model's may be the same.
+    // A service and a model may have the same name; the prefix separates them.
     const std::string target =
         (call.is_service() ? "service/" : "servable/") + call.info.target;
     claim_request asked;
--- a/src/adapters/edge/prepared_call.hpp
+++ b/src/adapters/edge/prepared_call.hpp
@@ -20,11 +20,11 @@
 namespace roseworks::edge
 {
 
-/// A checked call, ready for admission.
+/// A validated call that is ready for admission.
 struct prepared_call
 {
     request_target target;
-    call_headers headers; ///< with a request id, the caller's or the router's
+    call_headers headers; ///< the request id is never empty
     boost::beast::http::verb method = boost::beast::http::verb::get;
     std::string content_type;
     std::string body;
@@ -36,9 +36,9 @@
     instant deadline;
 
     request_info info;
-    std::optional<claim_request> claim; ///< to be claimed before it is sent
-    stream_position position;           ///< what of a stream the caller has
-    bool patient = false;    ///< given up on once: the longest limits hold
+    std::optional<claim_request> claim; ///< must be granted before sending
+    stream_position position;           ///< events the caller has received
+    bool patient = false;    ///< timed out once: use the longest limits
     std::string run_left_at; ///< engine that may still run it; empty: none
 
     bool is_service() const
@@ -55,7 +55,8 @@
             this->info.max_tokens};
     }
 
-    /// Whether the stream that its caller has a part of may be continued.
+    /// Whether another run may continue the stream that the caller has begun to
+    /// receive.
     bool resumable() const
     {
         return !this->is_service() && this->info.repeatable &&
@@ -63,16 +64,16 @@
     }
 };
 
-/// Fills `info`, `claim` and `stream` from the rest.
+/// Fills in `info`, `claim` and `stream` from the other members.
 ///
-/// A call with an idempotency key runs at most once and is claimed. So is a
-/// call to a service that isn't repeatable; without a key its request id
-/// stands for it when the caller sent one, and else it is attempted once
-/// without a claim.
-/// @param call  the call with its body.
-/// @param table the newest routing table, may be null: then a service counts
-///              as not repeatable.
-/// @return      nothing; `call_problem` with 400 for a malformed body.
+/// A call with an idempotency key is claimed and runs at most once. So does a
+/// call to a service that is not repeatable. If such a call has no key, its
+/// request id is used as the key if the caller sent one; otherwise the call has
+/// no claim and is not sent again once it may have run.
+/// @param call  The call with its body.
+/// @param table The newest routing table. If it is null, services count as not
+///              repeatable.
+/// @return      `call_problem` with 400 for a malformed body.
 boost::leaf::result<void>
 describe_call(prepared_call& call, const routing_table* table);
 
--- a/src/adapters/edge/request_framing.hpp
+++ b/src/adapters/edge/request_framing.hpp
@@ -6,14 +6,15 @@
 namespace roseworks::edge
 {
 
-/// Refuses heads on which two servers could disagree about where the request
-/// ends (request smuggling): more than one `Content-Length`, one that isn't
+/// Rejects heads on which two servers could disagree about where the request
+/// ends (request smuggling): more than one `Content-Length`, one that is not
 /// plain digits, `Content-Length` with `Transfer-Encoding`, any
-/// `Transfer-Encoding` but a single `chunked`, one below HTTP/1.1, and a
-/// missing or doubled `Host`.
-/// @param fields  the header.
-/// @param version 10 or 11.
-/// @return        nothing; `call_problem` with 400.
+/// `Transfer-Encoding` except a single `chunked`, `Transfer-Encoding` in
+/// HTTP/1.0, a `Host` that occurs more than once, and a missing `Host` in
+/// HTTP/1.1.
+/// @param fields  The request headers.
+/// @param version HTTP version: 10 or 11.
+/// @return        `call_problem` with 400.
 boost::leaf::result<void>
 check_framing(const boost::beast::http::fields& fields, unsigned version);
 
--- a/src/adapters/edge/request_target.hpp
+++ b/src/adapters/edge/request_target.hpp
@@ -9,7 +9,7 @@
 namespace roseworks::edge
 {
 
-/// What a call asks for.
+/// The kind of endpoint that a request addresses.
 enum class route_kind : std::uint8_t
 {
     chat,
@@ -22,7 +22,7 @@
     state
 };
 
-/// @return The word used for a route in metrics.
+/// @return The label of a route in metrics.
 constexpr std::string_view to_string(route_kind value)
 {
     switch (value)
@@ -47,19 +47,19 @@
     return "unknown";
 }
 
-/// A request target, understood.
+/// A parsed request target.
 struct request_target
 {
     route_kind kind = route_kind::healthz;
-    std::string service; ///< name, for a service
+    std::string service; ///< name of the service; else empty
     std::string path;    ///< path and query for the backend server
 };
 
-/// Understands a request's method and target. Only the origin form is taken;
-/// dot segments are refused, as their meaning differs between servers.
-/// @param method the method as sent.
-/// @param target the target as sent.
-/// @return       the target; `call_problem` with 400, 404 or 405.
+/// Parses the method and target of a request. Only the origin form is accepted.
+/// Dot segments are rejected because servers resolve them differently.
+/// @param method The unmodified method.
+/// @param target The unmodified request target.
+/// @return       The parsed target; `call_problem` with 400, 404 or 405.
 boost::leaf::result<request_target>
 parse_request_target(std::string_view method, std::string_view target);
 
--- a/src/adapters/edge/server.cpp
+++ b/src/adapters/edge/server.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::chrono::milliseconds drain_poll{10};
 constexpr std::chrono::milliseconds accept_pause{50};
-/// For the explicit errors at the drain limit to leave.
+/// Time for the explicit errors to be sent once the drain limit is reached.
 constexpr std::chrono::seconds last_words{1};
 
 } // namespace
@@ -96,7 +96,7 @@
             co_return;
         if (error)
         {
-            // Out of descriptors, mostly: waits for some to be given back.
+            // Usually out of file descriptors: waits until some are closed.
             pause.expires_after(accept_pause);
             co_await pause.async_wait(quietly);
             continue;
@@ -111,7 +111,8 @@
     return *this->threads[this->next];
 }
 
-/// Connections in the kernel's backlog would be reset: they are served.
+/// Accepts the connections in the kernel's backlog. They would be reset when
+/// the acceptor is closed.
 void server::impl::take_waiting()
 {
     beast::error_code error;
@@ -185,7 +186,8 @@
 
 server::~server()
 {
-    // What a loop's coroutines still hold must not reach into another loop.
+    // A coroutine that still holds the implementation must not access the
+    // threads of another event loop.
     beast::error_code ignored;
     this->self->acceptor.close(ignored);
     this->self->threads.clear();
--- a/src/adapters/edge/server.hpp
+++ b/src/adapters/edge/server.hpp
@@ -14,19 +14,20 @@
 namespace roseworks::edge
 {
 
-/** The router's edge: takes callers' requests and answers each.
+/** The HTTP server of the router: accepts requests of callers and responds.
 
-    Runs on the traffic threads' event loops, one thread each; accepted
-    connections are dealt to them in turn. The loops are run by the owner. To
-    shut down: `drain`, stop the loops and join their threads, destroy the
-    server, destroy the loops, destroy the dependencies.
+    Runs on the event loops of the traffic threads, one thread per loop.
+    Accepted connections are assigned to the loops round robin. The owner runs
+    the loops. To shut down: call `drain`, stop the loops and join their
+    threads, then destroy the server, the loops and the dependencies in this
+    order.
 */
 class server
 {
 public:
-    /// @param settings     limits and timeouts.
-    /// @param dependencies what the edge works with.
-    /// @param loops        the traffic threads' event loops, at least one.
+    /// @param settings     Limits and timeouts.
+    /// @param dependencies Ports and callbacks.
+    /// @param loops        Event loops of the traffic threads, at least one.
     server(
         edge_options settings,
         edge_dependencies dependencies,
@@ -36,29 +37,30 @@
     server(const server&) = delete;
     server& operator=(const server&) = delete;
 
-    /// Listens and accepts from now on; once, before the loops run or from
-    /// outside them.
-    /// @param endpoint where to listen; port 0 picks a free one.
-    /// @return         the bound endpoint; `boost::system::error_code`.
+    /// Starts to listen and to accept connections. Call it once, either before
+    /// the loops run or from a thread that runs none of them.
+    /// @param endpoint Where to listen; port 0 selects a free port.
+    /// @return         The bound endpoint; `boost::system::error_code`.
     boost::leaf::result<tcp::endpoint> listen(const tcp::endpoint& endpoint);
 
-    /// Shuts down gracefully, once: takes the connections that wait, stops
-    /// accepting, tells admission to refuse what waits, closes idle
-    /// connections, and lets running requests finish. At the limit the rest
-    /// is ended with an explicit error. Thread-safe.
-    /// @param limit how long running requests may take.
-    /// @param done  called on the first event loop when no connection is left
-    ///              or the limit has passed, with the number of connections
-    ///              that were open at the limit.
+    /// Shuts down gracefully: accepts the connections in the backlog, stops
+    /// accepting, makes the dispatcher refuse queued requests, closes idle
+    /// connections, and lets running requests finish. Requests that still run
+    /// at the limit end with an explicit error. Call it once. Thread-safe.
+    /// @param limit Time limit for running requests.
+    /// @param done  Called on the first event loop when all connections are
+    ///              closed, or about 1 s after the limit at the latest. Its
+    ///              argument is the number of connections that were open at
+    ///              the limit.
     void drain(duration limit, std::function<void(std::size_t)> done);
 
-    /// Stops accepting and the edge's own timers, without waiting for
-    /// requests. Thread-safe.
+    /// Stops accepting connections and stops the sweep timers, without waiting
+    /// for requests. Thread-safe.
     void stop();
 
     bool draining() const;
 
-    /// @return Open callers' connections.
+    /// @return Number of open caller connections.
     std::size_t connections() const;
 
 private:
--- a/src/adapters/edge/shared_dispatcher.cpp
+++ b/src/adapters/edge/shared_dispatcher.cpp
@@ -77,7 +77,8 @@
     this->locked(
         [&](instant time)
         {
-            // Refused meanwhile: the dispatcher no longer knows it.
+            // Without an entry the request was refused in the meantime, and
+            // the dispatcher has forgotten it.
             if (this->waiters.erase(request) != 0)
                 this->core.abandon(request, time);
         });
@@ -262,8 +263,8 @@
 
 void shared_dispatcher::arm()
 {
-    // The instant is read on the timer's strand: two threads may post here in
-    // another order than they took the lock.
+    // `armed` is read on the strand of the timer, because two threads may post
+    // in another order than they held the lock.
     asio::post(
         this->timer_executor,
         [weak = this->weak_from_this()]
--- a/src/adapters/edge/shared_dispatcher.hpp
+++ b/src/adapters/edge/shared_dispatcher.hpp
@@ -19,18 +19,19 @@
 namespace roseworks::edge
 {
 
-/** The router's one `dispatcher`, shared by the traffic threads.
+/** Makes the `dispatcher` of the router available to all traffic threads.
 
-    Every call is one short critical section; replies and notices are handed
-    out after it. A timer on the given executor ticks the dispatcher when it
-    has work. Thread-safe. Use through a `shared_ptr`.
+    Every call is one short critical section. Replies and notifications are
+    delivered after the lock is released. A timer on the given executor calls
+    `dispatcher::tick` when it is due. Thread-safe. Must be owned by a
+    `shared_ptr`.
 */
 class shared_dispatcher : public dispatch_port,
                           public std::enable_shared_from_this<shared_dispatcher>
 {
 public:
-    /// What the control thread is told; called from any thread, must not
-    /// block.
+    /// Callbacks that notify the control thread. Called from any thread; must
+    /// not block.
     struct notices
     {
         std::function<void(const demand&)> on_demand;
@@ -38,10 +39,10 @@
         std::function<void(const permit_wanted&)> on_permit_wanted;
     };
 
-    /// @param core     the dispatcher.
-    /// @param executor runs the timer.
-    /// @param clock    the steady clock.
-    /// @param tell     takes demand and crashes.
+    /// @param core     The dispatcher.
+    /// @param executor Runs the timer.
+    /// @param clock    The steady clock.
+    /// @param tell     Receives demand, crashes and permit requests.
     static std::shared_ptr<shared_dispatcher> make(
         dispatcher core,
         const boost::asio::any_io_executor& executor,
@@ -54,7 +55,7 @@
     void abandon(ticket request) override;
     void drain() override;
 
-    /// See the functions of the same name of `dispatcher`.
+    /// See the functions of the same name in `dispatcher`.
     void table_changed(routing_table_ptr table);
     void load_reported(const load_report& report);
     void routers_alive(std::size_t count);
@@ -62,7 +63,7 @@
     void vm_leaving(std::string_view vm, bool leaving);
     void crash_examined(const crash_seen& what, crash_finding finding);
     void server_limited(const server_place& server, double per_second);
-    /// @param wait How long until the permit counts.
+    /// @param wait Time until the permit becomes valid.
     void permit_given(const server_place& server, duration wait);
     void permit_refused(const server_place& server, duration retry_after);
     bool permit_withdrawn(const server_place& server);
@@ -70,11 +71,11 @@
     std::size_t queued() const;
     std::size_t in_flight() const;
 
-    /// Stops the timer; the event loop may then run out of work.
+    /// Stops the timer, so that the event loop can run out of work.
     void stop();
 
 private:
-    /// What is handed out once the lock is released.
+    /// Replies and notifications to deliver after the lock is released.
     struct handout
     {
         std::vector<std::pair<reply_handler, reply>> replies;
@@ -90,7 +91,7 @@
         const clock_port& time,
         notices listener);
 
-    /// Runs `step(now)` under the lock, then hands out what it led to.
+    /// Runs `step(now)` under the lock, then delivers the resulting output.
     template <class Step>
     void locked(Step step);
     handout collect();
--- a/src/adapters/edge/sse_reader.cpp
+++ b/src/adapters/edge/sse_reader.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view id_field = "id:";
 constexpr std::string_view done_mark = "[DONE]";
 
-/// @return The line's value, without the one space that may lead it.
+/// @return The value of the field, without one leading space.
 std::string_view value_of(std::string_view line, std::string_view field)
 {
     line.remove_prefix(field.size());
@@ -40,7 +40,7 @@
     this->after_cr = byte == '\r';
     if (completes_cr)
     {
-        // The second half of a CRLF belongs to the line that has ended.
+        // The LF of a CRLF belongs to the line that the CR has ended.
         this->last->push_back(byte);
         if (this->last == &this->event)
             this->line_start = this->event.size();
@@ -94,7 +94,8 @@
     this->line_start = 0;
     this->has_data = false;
     this->is_done = false;
-    // After [DONE] everything is discarded, also the rest of a CRLF there.
+    // Everything after [DONE] is discarded, including the LF of a CRLF that
+    // ends a discarded event.
     this->last = late ? &this->event : &target;
 }
 
--- a/src/adapters/edge/sse_reader.hpp
+++ b/src/adapters/edge/sse_reader.hpp
@@ -10,20 +10,21 @@
 namespace roseworks::edge
 {
 
-/** Cuts a server-sent-event stream into whole events.
+/** Splits a stream of server-sent events into whole events.
 
-    Only whole events are passed on, so that an error event added after a cut
-    is never glued to half an event. `data: [DONE]` is held back until the
-    whole answer is known to have come. What comes after it is discarded.
+    Only whole events are passed on, so an error event that is added after a
+    truncated stream never follows part of an event. `data: [DONE]` is held back
+    until the response is known to be complete. Events after it are discarded.
 
-    Memory: at most `max_event_bytes` of an unfinished event, and the events
-    made ready by one `feed`.
+    Memory: at most `max_event_bytes` of an incomplete event, and the events
+    completed by one `feed`.
 */
 class sse_reader
 {
 public:
-    /// @param max_event_bytes the largest event that is taken.
-    /// @param caller_has      follows the events' ids; null: it needn't.
+    /// @param max_event_bytes Maximum size of an event.
+    /// @param caller_has      Tracks the ids of the events; null: ids are
+    ///                        ignored.
     explicit sse_reader(
         std::size_t max_event_bytes, stream_position* caller_has = nullptr)
         : limit(max_event_bytes)
@@ -34,26 +35,26 @@
     sse_reader(const sse_reader&) = delete;
     sse_reader& operator=(const sse_reader&) = delete;
 
-    /// Takes bytes as they come.
-    /// @return False when an event is larger than the limit, or can't follow
-    ///         what the caller has; it is not passed on then.
+    /// Parses the next bytes of the stream.
+    /// @return False if an event exceeds the limit or can't follow those the
+    ///         caller has. That event is not passed on.
     bool feed(std::string_view bytes);
 
-    /// The body has ended whole: what is left is the last event, and is
-    /// closed by an empty line.
+    /// Handles the end of a complete body: the remaining bytes become the last
+    /// event, terminated with an empty line.
     void finish();
 
-    /// @return Whole events since the last call, byte for byte; without
-    ///         `[DONE]`.
+    /// @return The unmodified bytes of the whole events since the last call,
+    ///         without `[DONE]`.
     std::string take_ready();
 
-    /// @return The `[DONE]` event's bytes, empty when it has not come.
+    /// @return The bytes of the `[DONE]` event, empty if it has not arrived.
     const std::string& done_event() const
     {
         return this->done;
     }
 
-    /// @return Events with data so far, without `[DONE]`.
+    /// @return Number of events with data so far, without `[DONE]`.
     std::uint32_t tokens() const
     {
         return this->data_events;
@@ -66,16 +67,17 @@
 
     std::size_t limit;
     stream_position* position;
-    std::string id; ///< the unfinished event's
+    std::string id; ///< id of the incomplete event
     bool refused = false;
     std::string ready;
-    std::string event; ///< the unfinished event
+    std::string event; ///< the incomplete event
     std::string done;
     std::size_t line_start = 0;
     bool has_data = false;
     bool is_done = false;
     bool after_cr = false;
-    std::string* last = &this->event; ///< where the last line end went
+    std::string* last =
+        &this->event; ///< buffer that received the last line end
     std::uint32_t data_events = 0;
 };
 
--- a/src/adapters/edge/stream_answer.hpp
+++ b/src/adapters/edge/stream_answer.hpp
@@ -11,11 +11,12 @@
 namespace roseworks::edge
 {
 
-/** An answer passed on to the caller piece by piece.
+/** A response that is streamed to the caller.
 
-    Its header says `answered` before the end is known; a stream that can't be
-    finished says otherwise in its last event, and lacks `[DONE]` and the last
-    chunk. Towards HTTP/1.0 the end of the connection ends the body.
+    Its header has the verdict `answered` before the outcome is known. If the
+    stream can't be completed, its last event is an error event with the actual
+    verdict, and it has no `[DONE]`. For HTTP/1.0 the body is delimited by the
+    end of the connection.
 */
 class stream_answer
 {
@@ -30,18 +31,18 @@
     stream_answer& operator=(const stream_answer&) = delete;
 
     /// Sends the header.
-    /// @param status  as the backend server said.
-    /// @param headers the backend server's header.
-    /// @return        false when the caller is gone.
+    /// @param status  Status of the backend server's response.
+    /// @param headers Headers of the backend server's response.
+    /// @return        False if the caller has closed the connection.
     asio::awaitable<bool> begin(unsigned status, const http::fields& headers);
 
-    /// Sends bytes; returns once the kernel has taken them.
+    /// Sends bytes. Returns when the kernel has accepted them.
     asio::awaitable<bool> write(std::string_view bytes);
 
-    /// Ends a whole answer.
+    /// Ends a complete response.
     asio::awaitable<bool> finish();
 
-    /// Ends a stream that can't be finished with an error event.
+    /// Ends an incomplete stream with an error event.
     asio::awaitable<void> cut(const call_problem& problem);
 
     bool started() const
--- a/src/adapters/edge/text_rules.hpp
+++ b/src/adapters/edge/text_rules.hpp
@@ -7,7 +7,8 @@
 namespace roseworks::edge
 {
 
-/// @return Whether the text is 1 to `longest` of `[A-Za-z0-9._-]`.
+/// @return Whether the text is 1 to `longest` characters of
+///         `[A-Za-z0-9._-]`.
 constexpr bool is_name(std::string_view text, std::size_t longest)
 {
     if (text.empty() || text.size() > longest)
@@ -25,7 +26,7 @@
 }
 
 /// @return Whether the text is 1 to `longest` printable ASCII characters,
-///         with spaces inside when `spaces`.
+///         including spaces if `spaces` is set.
 constexpr bool
 is_printable(std::string_view text, std::size_t longest, bool spaces)
 {
--- a/src/adapters/edge/traffic_thread.hpp
+++ b/src/adapters/edge/traffic_thread.hpp
@@ -12,30 +12,31 @@
 namespace roseworks::edge
 {
 
-/// Counts a caller's connection for as long as it lives.
+/// Counts a caller connection for its lifetime (RAII).
 class connection_count;
 
-/// What one traffic thread holds: its callers and its connections to backend
-/// servers. All functions but `start` and `serve` run on its event loop.
+/// The state of one traffic thread: its caller sessions and its connections to
+/// backend servers. All functions except `start` and `serve` must run on its
+/// event loop.
 class traffic_thread : public std::enable_shared_from_this<traffic_thread>
 {
 public:
     traffic_thread(
         asio::any_io_executor loop, std::shared_ptr<edge_context> shared);
 
-    /// Starts what runs beside the callers.
+    /// Starts the periodic sweep of the connection pool.
     void start();
 
-    /// Serves an accepted connection, counted from now on. Thread-safe.
+    /// Counts an accepted connection and serves it. Thread-safe.
     void serve(tcp::socket socket);
 
-    /// Closes idle callers; the others' next answer closes them.
+    /// Closes idle connections; the others close after their next response.
     void start_drain();
 
     /// Ends all calls with an explicit error.
     void force_end();
 
-    /// Stops what `start` has started.
+    /// Stops the sweep.
     void stop();
 
     const asio::any_io_executor executor;
