--- a/src/adapters/edge/backend_leg.cpp
+++ b/src/adapters/edge/backend_attempt.cpp
@@ -1,4 +1,4 @@
-#include "adapters/edge/backend_leg.hpp"
+#include "adapters/edge/backend_attempt.hpp"
 
 #include "adapters/edge/backend_request.hpp"
 #include "adapters/edge/engine_cancel.hpp"
@@ -21,15 +21,15 @@
 
 } // namespace
 
-backend_leg::backend_leg(
+backend_attempt::backend_attempt(
     backend_pool& connections,
     prepared_call& request,
     call_inbox& messages,
-    stream_answer& answer)
+    stream_response& answer)
     : pool(connections)
     , call(request)
     , inbox(messages)
-    , out(answer)
+    , response(answer)
 {
     this->inbox.on_interrupt = [this]
     {
@@ -38,96 +38,99 @@
     };
 }
 
-backend_leg::~backend_leg()
+backend_attempt::~backend_attempt()
 {
     this->inbox.on_interrupt = nullptr;
 }
 
-asio::awaitable<leg_outcome> backend_leg::run(grant where)
+asio::awaitable<attempt_outcome> backend_attempt::run(grant where)
 {
     this->target = std::move(where);
     this->sent_at = this->pool.context.now();
-    this->end_as(end::not_sent);
+    this->set_end(end::not_sent);
     co_await this->exchange();
-    this->tell_truly();
+    this->account_for_both_runs();
     attempt_result& result = this->outcome.result;
-    result.answer_started = this->out.started();
-    result.resumable = this->out.started() && this->call.resumable();
+    result.answer_started = this->response.started();
+    result.resumable = this->response.started() && this->call.resumable();
     result.total = this->pool.context.now() - this->sent_at;
-    const bool cut = result.how == end::broken && this->out.started();
+    const bool cut = result.how == end::broken && this->response.started();
     const bool stopped =
         cut || result.how == end::caller_left || result.how == end::no_progress;
     if (stopped && this->outcome.sent && !this->call.is_service())
-        this->call.run_left_at = this->target.address;
+        this->call.unfinished_run_address = this->target.address;
     co_return std::move(this->outcome);
 }
 
-asio::awaitable<void> backend_leg::exchange()
+asio::awaitable<void> backend_attempt::exchange()
 {
     const bool opened = co_await this->open();
     if (!opened)
         co_return;
-    co_await this->converse();
-    if (!this->may_switch())
+    co_await this->send_and_receive();
+    if (!this->may_switch_connection())
         co_return;
     const bool switched_over = co_await this->switch_connection();
     if (switched_over)
-        co_await this->converse();
+        co_await this->send_and_receive();
 }
 
-bool backend_leg::may_switch() const
+bool backend_attempt::may_switch_connection() const
 {
-    const bool silent = this->outcome.result.how == end::no_progress;
-    const bool again = this->call.info.repeatable &&
-                       (!this->out.started() || this->call.resumable());
-    const bool in_time = this->pool.context.now() < this->call.deadline;
-    return silent && again && in_time && this->connection &&
-           this->connection->pooled && !this->inbox.interrupted();
+    const bool timed_out = this->outcome.result.how == end::no_progress;
+    const bool repeatable_from_here =
+        this->call.info.repeatable &&
+        (!this->response.started() || this->call.resumable());
+    const bool before_deadline = this->pool.context.now() < this->call.deadline;
+    return timed_out && repeatable_from_here && before_deadline &&
+           this->connection && this->connection->pooled &&
+           !this->inbox.interrupted();
 }
 
-asio::awaitable<bool> backend_leg::switch_connection()
+asio::awaitable<bool> backend_attempt::switch_connection()
 {
     this->switched = true;
     const bool opened = co_await this->open_new();
     if (!opened)
         co_return false;
-    const bool stopped = co_await this->stop_old_run();
+    const bool stopped = co_await this->cancel_earlier_run();
     co_return stopped;
 }
 
-asio::awaitable<bool> backend_leg::stop_old_run()
+asio::awaitable<bool> backend_attempt::cancel_earlier_run()
 {
     if (this->call.is_service())
         co_return true;
     // After a switch the cancel also probes whether the server is reachable,
     // so it gets the short limit. Otherwise a slow server may take longer.
     const edge_options& options = this->pool.context.options;
-    const cancel_end answer = co_await cancel_on(
+    const cancel_result answer = co_await cancel_run(
         *this->connection,
         this->call.headers.request_id,
-        this->time_left(
+        this->limit_to_deadline(
             this->switched ? options.connect_timeout
                            : options.first_byte_timeout));
-    if (answer == cancel_end::unreachable)
+    if (answer == cancel_result::unreachable)
     {
-        this->end_as(
+        this->set_end(
             this->inbox.interrupted() ? end::caller_left : end::not_sent);
         co_return false;
     }
-    this->call.run_left_at.clear();
+    this->call.unfinished_run_address.clear();
     // The fresh connection works, so only the older ones are silent.
-    this->pool.answered(*this->connection);
-    if (answer == cancel_end::kept)
+    this->pool.record_response(*this->connection);
+    if (answer == cancel_result::reusable)
         co_return true;
     const bool opened = co_await this->open_new();
     co_return opened;
 }
 
-asio::awaitable<void> backend_leg::converse()
+asio::awaitable<void> backend_attempt::send_and_receive()
 {
     bool sent = co_await this->send();
-    const bool untouched = !this->outcome.sent && this->connection->pooled;
-    if (!sent && untouched && !this->inbox.interrupted())
+    const bool is_unused_pooled =
+        !this->outcome.sent && this->connection->pooled;
+    if (!sent && is_unused_pooled && !this->inbox.interrupted())
     {
         // The pooled connection was already closed; no byte was sent on it.
         const bool reopened = co_await this->open_new();
@@ -141,115 +144,115 @@
     const bool read = co_await this->read_header(parser);
     if (!read)
         co_return;
-    this->pool.answered(*this->connection);
+    this->pool.record_response(*this->connection);
     this->connection->pooled = true;
     if (is_event_stream(parser->get()))
-        co_await this->relay(*parser);
+        co_await this->relay_stream(*parser);
     else
-        co_await this->collect(*parser);
+        co_await this->read_buffered(*parser);
 }
 
-asio::awaitable<bool> backend_leg::open()
+asio::awaitable<bool> backend_attempt::open()
 {
-    if (this->call.run_left_at == this->target.address)
+    if (this->call.unfinished_run_address == this->target.address)
     {
         // Waits for the cancel first: if it arrived after the new run began,
         // it would stop that run.
         const bool opened = co_await this->open_new();
         if (!opened)
             co_return false;
-        const bool stopped = co_await this->stop_old_run();
+        const bool stopped = co_await this->cancel_earlier_run();
         co_return stopped;
     }
-    if (!this->call.run_left_at.empty())
+    if (!this->call.unfinished_run_address.empty())
         this->pool.cancel(
-            std::exchange(this->call.run_left_at, {}),
+            std::exchange(this->call.unfinished_run_address, {}),
             this->call.headers.request_id);
     const edge_options& options = this->pool.context.options;
-    this->connection = this->pool.take(
+    this->connection = this->pool.acquire(
         this->target.address,
         this->call.info.repeatable ? options.connection_max_idle
-                                   : options.proof_of_life);
+                                   : options.non_repeatable_max_idle);
     if (this->connection)
         co_return true;
     const bool opened = co_await this->open_new();
     co_return opened;
 }
 
-asio::awaitable<bool> backend_leg::open_new()
+asio::awaitable<bool> backend_attempt::open_new()
 {
     this->connection = this->pool.make(this->target.address);
     const bool opened = co_await connect(
         *this->connection,
-        this->time_left(this->pool.context.options.connect_timeout),
-        this->pool.context.options.unacknowledged);
+        this->limit_to_deadline(this->pool.context.options.connect_timeout),
+        this->pool.context.options.tcp_user_timeout);
     if (!opened || this->inbox.interrupted())
     {
-        this->end_as(
+        this->set_end(
             this->inbox.interrupted() ? end::caller_left : end::not_sent);
         co_return false;
     }
     co_return true;
 }
 
-asio::awaitable<bool> backend_leg::send()
+asio::awaitable<bool> backend_attempt::send()
 {
     const duration left = this->call.deadline - this->pool.context.now();
     backend_request request =
         make_backend_request(this->call, this->target.address, left);
     this->sent_at = this->pool.context.now();
-    this->limit_first_byte();
+    this->start_first_byte_timer();
     const std::uint64_t before = this->connection->stream.secured_bytes();
-    const auto [error, size] =
-        co_await http::async_write(this->connection->stream, request, quietly);
+    const auto [error, size] = co_await http::async_write(
+        this->connection->stream, request, use_awaitable_tuple);
     const bool begun =
         size != 0 || this->connection->stream.secured_bytes() != before;
     this->outcome.sent = this->outcome.sent || begun;
     if (!error)
         co_return true;
     if (begun)
-        this->fail(error);
+        this->record_error(error);
     else
-        this->end_as(
+        this->set_end(
             this->inbox.interrupted() ? end::caller_left : end::not_sent);
     co_return false;
 }
 
 asio::awaitable<bool>
-backend_leg::read_header(std::optional<header_parser>& parser)
+backend_attempt::read_header(std::optional<header_parser>& parser)
 {
     for (int interim = 0; interim < max_interim_answers; ++interim)
     {
         parser.emplace();
-        parser->header_limit(max_buffered);
+        parser->header_limit(max_read_ahead_bytes);
         parser->body_limit(boost::none);
         parser->skip(this->call.method == http::verb::head);
-        this->limit(this->first_byte_left());
+        this->start_timer(this->remaining_first_byte_time());
         const auto [error, size] = co_await http::async_read_header(
             this->connection->stream,
             this->connection->buffer,
             *parser,
-            quietly);
+            use_awaitable_tuple);
         if (error)
         {
-            this->fail(error);
+            this->record_error(error);
             co_return false;
         }
         if (parser->get().result_int() < first_final_status)
             continue;
-        this->note_first_byte();
+        this->record_first_byte_time();
         if (!is_event_stream(parser->get()))
-            this->learn_first_byte();
-        const bool matches = this->echo_matches(parser->get());
+            this->update_first_byte_estimate();
+        const bool matches = this->has_matching_request_id(parser->get());
         if (!matches)
-            this->end_as(end::broken);
+            this->set_end(end::broken);
         co_return matches;
     }
-    this->end_as(end::broken);
+    this->set_end(end::broken);
     co_return false;
 }
 
-asio::awaitable<void> backend_leg::collect(header_parser& header)
+asio::awaitable<void> backend_attempt::read_buffered(header_parser& header)
 {
     const edge_options& options = this->pool.context.options;
     const bool verifiable = !header.need_eof();
@@ -257,46 +260,46 @@
     parser.body_limit(options.max_answer_bytes);
     while (!parser.is_done())
     {
-        this->limit(options.idle_byte_timeout);
+        this->start_timer(options.idle_byte_timeout);
         const auto [error, size] = co_await http::async_read_some(
             this->connection->stream,
             this->connection->buffer,
             parser,
-            quietly);
+            use_awaitable_tuple);
         if (error)
         {
-            this->fail(error);
+            this->record_error(error);
             co_return;
         }
     }
     if (!verifiable)
     {
-        this->end_as(end::broken);
+        this->set_end(end::broken);
         co_return;
     }
     this->outcome.answer = parser.release();
-    this->classify();
-    if (this->out.started() && this->outcome.result.how == end::answered)
+    this->classify_response();
+    if (this->response.started() && this->outcome.result.how == end::answered)
     {
         // The caller has already received part of a stream; this response
         // is not the rest of it.
         this->call.position.disable_resume();
-        this->end_as(end::broken);
+        this->set_end(end::broken);
     }
     this->release(this->outcome.answer->keep_alive());
 }
 
-void backend_leg::tell_truly()
+void backend_attempt::account_for_both_runs()
 {
     if (!this->switched)
         return;
     // Whatever the result of the second run, the first one may have run.
     const end how = this->outcome.result.how;
     if (how == end::not_sent || how == end::refused_not_run)
-        this->end_as(end::no_progress);
+        this->set_end(end::no_progress);
 }
 
-bool backend_leg::echo_matches(const http::fields& header)
+bool backend_attempt::has_matching_request_id(const http::fields& header)
 {
     const auto echoed = header["X-Request-Id"];
     const std::string& wanted = this->call.headers.request_id;
@@ -313,54 +316,54 @@
     return false;
 }
 
-void backend_leg::classify()
+void backend_attempt::classify_response()
 {
-    const whole_answer& answer = *this->outcome.answer;
+    const buffered_response& answer = *this->outcome.answer;
     const unsigned status = answer.result_int();
-    this->end_as(end::answered);
+    this->set_end(end::answered);
     if (this->call.is_service())
         return;
-    if (says_not_run(status, answer.body()))
-        this->end_as(end::refused_not_run);
-    else if (says_stopped(status, answer.body()))
-        this->end_as(end::stopped);
+    if (reports_not_run(status, answer.body()))
+        this->set_end(end::refused_not_run);
+    else if (reports_cancelled(status, answer.body()))
+        this->set_end(end::stopped);
 }
 
-void backend_leg::fail(beast::error_code error)
+void backend_attempt::record_error(beast::error_code error)
 {
     if (this->inbox.interrupted())
-        this->end_as(end::caller_left);
+        this->set_end(end::caller_left);
     else if (error == beast::error::timeout)
     {
-        this->end_as(end::no_progress);
-        this->pool.silent(*this->connection);
-        this->call.patient = true;
-        if (!this->first_byte_came)
-            this->pool.progress.record_timeout(this->call.work());
+        this->set_end(end::no_progress);
+        this->pool.record_silence(*this->connection);
+        this->call.use_longest_limits = true;
+        if (!this->first_byte_arrived)
+            this->pool.progress.record_timeout(this->call.profile());
     }
     else
-        this->end_as(end::broken);
+        this->set_end(end::broken);
 }
 
-void backend_leg::end_as(end how)
+void backend_attempt::set_end(end how)
 {
     this->outcome.result.how = how;
 }
 
-void backend_leg::release(bool keep_alive)
+void backend_attempt::release(bool keep_alive)
 {
     if (keep_alive)
-        this->pool.put(std::move(this->connection));
+        this->pool.add_idle(std::move(this->connection));
     this->connection.reset();
 }
 
-void backend_leg::limit(duration longest)
+void backend_attempt::start_timer(duration longest)
 {
     this->connection->stream.expires_after(
-        this->time_left(std::max(longest, duration::zero())));
+        this->limit_to_deadline(std::max(longest, duration::zero())));
 }
 
-void backend_leg::limit_first_byte()
+void backend_attempt::start_first_byte_timer()
 {
     const duration ceiling = this->pool.context.options.first_byte_timeout;
     const connection_kind kind = this->connection->pooled
@@ -368,35 +371,37 @@
                                      : connection_kind::fresh;
     // A call that cannot be sent again would lose its answer to an early
     // time-out.
-    const bool early = this->call.info.repeatable && !this->call.patient;
-    this->first_byte_came = false;
-    this->first_byte_limit = early ? this->pool.progress.first_byte_limit(
-                                         this->call.work(), kind, ceiling)
-                                   : ceiling;
-    this->limit(this->first_byte_limit);
+    const bool may_time_out_early =
+        this->call.info.repeatable && !this->call.use_longest_limits;
+    this->first_byte_arrived = false;
+    this->first_byte_limit = may_time_out_early
+                                 ? this->pool.progress.first_byte_limit(
+                                       this->call.profile(), kind, ceiling)
+                                 : ceiling;
+    this->start_timer(this->first_byte_limit);
 }
 
-duration backend_leg::first_byte_left() const
+duration backend_attempt::remaining_first_byte_time() const
 {
     return this->sent_at + this->first_byte_limit - this->pool.context.now();
 }
 
-duration backend_leg::time_left(duration longest) const
+duration backend_attempt::limit_to_deadline(duration longest) const
 {
     const duration left = this->call.deadline - this->pool.context.now();
     return std::clamp(left, duration::zero(), longest);
 }
 
-void backend_leg::note_first_byte()
+void backend_attempt::record_first_byte_time()
 {
     this->outcome.result.first_byte = this->pool.context.now() - this->sent_at;
 }
 
-void backend_leg::learn_first_byte()
+void backend_attempt::update_first_byte_estimate()
 {
-    this->first_byte_came = true;
+    this->first_byte_arrived = true;
     this->pool.progress.record_first_byte(
-        this->call.work(),
+        this->call.profile(),
         this->outcome.result.first_byte,
         this->pool.context.now());
 }
--- a/src/adapters/edge/backend_leg.hpp
+++ b/src/adapters/edge/backend_attempt.hpp
@@ -4,7 +4,7 @@
 #include "adapters/edge/call_inbox.hpp"
 #include "adapters/edge/caller_connection.hpp"
 #include "adapters/edge/prepared_call.hpp"
-#include "adapters/edge/stream_answer.hpp"
+#include "adapters/edge/stream_response.hpp"
 
 #include <roseworks/dispatcher.hpp>
 
@@ -19,11 +19,11 @@
 {
 
 /// The outcome of one attempt.
-struct leg_outcome
+struct attempt_outcome
 {
     attempt_result result;
     bool sent = false; ///< the kernel has accepted a byte of the request
-    std::optional<whole_answer> answer; ///< unless it was streamed
+    std::optional<buffered_response> answer; ///< unless it was streamed
 };
 
 /** One attempt to send a request to a backend server and read its response.
@@ -50,21 +50,21 @@
     only after the write to the caller has finished. The request body is freed
     when a stream begins that no other attempt can continue.
 */
-class backend_leg
+class backend_attempt
 {
 public:
-    backend_leg(
+    backend_attempt(
         backend_pool& connections,
         prepared_call& request,
         call_inbox& messages,
-        stream_answer& answer);
-    ~backend_leg();
+        stream_response& answer);
+    ~backend_attempt();
 
-    backend_leg(const backend_leg&) = delete;
-    backend_leg& operator=(const backend_leg&) = delete;
+    backend_attempt(const backend_attempt&) = delete;
+    backend_attempt& operator=(const backend_attempt&) = delete;
 
     /// Runs the attempt. Call it once per object.
-    asio::awaitable<leg_outcome> run(grant where);
+    asio::awaitable<attempt_outcome> run(grant where);
 
 private:
     using header_parser = http::response_parser<http::empty_body>;
@@ -73,45 +73,45 @@
 
     asio::awaitable<void> exchange();
     asio::awaitable<bool> switch_connection();
-    asio::awaitable<void> converse();
+    asio::awaitable<void> send_and_receive();
     asio::awaitable<bool> open();
     asio::awaitable<bool> open_new();
-    asio::awaitable<bool> stop_old_run();
+    asio::awaitable<bool> cancel_earlier_run();
     asio::awaitable<bool> send();
     asio::awaitable<bool> read_header(std::optional<header_parser>& parser);
-    asio::awaitable<void> collect(header_parser& header);
-    asio::awaitable<void> relay(header_parser& header);
+    asio::awaitable<void> read_buffered(header_parser& header);
+    asio::awaitable<void> relay_stream(header_parser& header);
     asio::awaitable<bool>
-    pass_on(const std::string& events, const answer_head& head);
+    write_events(const std::string& events, const answer_head& head);
     asio::awaitable<bool> begin_stream(const answer_head& head);
 
-    bool may_switch() const;
-    bool joins(const answer_head& head);
-    void tell_truly();
-    bool echo_matches(const http::fields& header);
-    void classify();
-    void fail(beast::error_code error);
-    void end_as(end how);
+    bool may_switch_connection() const;
+    bool continues_stream(const answer_head& head);
+    void account_for_both_runs();
+    bool has_matching_request_id(const http::fields& header);
+    void classify_response();
+    void record_error(beast::error_code error);
+    void set_end(end how);
     void release(bool keep_alive);
-    void limit(duration longest);
-    void limit_first_byte();
-    duration first_byte_left() const;
-    duration next_event_limit(const stream_gap_estimator& pace) const;
-    duration time_left(duration longest) const;
-    void note_first_byte();
-    void learn_first_byte();
+    void start_timer(duration longest);
+    void start_first_byte_timer();
+    duration remaining_first_byte_time() const;
+    duration next_event_limit(const stream_gap_estimator& gaps) const;
+    duration limit_to_deadline(duration longest) const;
+    void record_first_byte_time();
+    void update_first_byte_estimate();
 
     backend_pool& pool;
     prepared_call& call;
     call_inbox& inbox;
-    stream_answer& out;
+    stream_response& response;
     grant target;
     backend_connection_ptr connection;
     instant sent_at;
     duration first_byte_limit{};
-    bool first_byte_came = false;
+    bool first_byte_arrived = false;
     bool switched = false; ///< sent again on a fresh connection
-    leg_outcome outcome;
+    attempt_outcome outcome;
 };
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/backend_connection.cpp
+++ b/src/adapters/edge/backend_connection.cpp
@@ -24,7 +24,8 @@
     ::setsockopt(handle, IPPROTO_TCP, name, &value, sizeof(value));
 }
 
-void watch_peer(tcp::socket& socket, std::chrono::milliseconds unacknowledged)
+void enable_dead_peer_detection(
+    tcp::socket& socket, std::chrono::milliseconds tcp_user_timeout)
 {
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -34,7 +35,7 @@
     set_tcp_option(handle, TCP_KEEPINTVL, keepalive_interval_seconds);
     set_tcp_option(handle, TCP_KEEPCNT, keepalive_probes);
     set_tcp_option(
-        handle, TCP_USER_TIMEOUT, static_cast<int>(unacknowledged.count()));
+        handle, TCP_USER_TIMEOUT, static_cast<int>(tcp_user_timeout.count()));
 }
 
 } // namespace
@@ -64,21 +65,21 @@
 asio::awaitable<bool> connect(
     backend_connection& connection,
     std::chrono::steady_clock::duration limit,
-    std::chrono::milliseconds unacknowledged)
+    std::chrono::milliseconds tcp_user_timeout)
 {
     tcp::endpoint endpoint;
     if (!parse_address(connection.address, endpoint))
         co_return false;
     connection.stream.expires_after(limit);
     const auto [error] =
-        co_await connection.stream.async_connect(endpoint, quietly);
+        co_await connection.stream.async_connect(endpoint, use_awaitable_tuple);
     if (error)
         co_return false;
-    watch_peer(connection.stream.socket(), unacknowledged);
-    if (connection.secured_by == nullptr)
+    enable_dead_peer_detection(connection.stream.socket(), tcp_user_timeout);
+    if (connection.tls_connector == nullptr)
         co_return true;
     const bool secured =
-        co_await connection.secured_by->secure(connection.stream);
+        co_await connection.tls_connector->secure(connection.stream);
     co_return secured;
 }
 
--- a/src/adapters/edge/backend_connection.hpp
+++ b/src/adapters/edge/backend_connection.hpp
@@ -17,7 +17,7 @@
 
 /// Limit of the bytes read ahead from a backend server, and of the size of its
 /// response header.
-inline constexpr std::size_t max_buffered = std::size_t(16) << 10;
+inline constexpr std::size_t max_read_ahead_bytes = std::size_t(16) << 10;
 
 /// A connection to a backend server. It carries one exchange at a time.
 struct backend_connection
@@ -29,12 +29,12 @@
         instant now,
         const tls::connector* tls)
         : stream(executor)
-        , buffer(max_buffered)
+        , buffer(max_read_ahead_bytes)
         , address(std::move(where))
         , serial(number)
         , opened(now)
         , last_used(now)
-        , secured_by(tls)
+        , tls_connector(tls)
     {
     }
 
@@ -43,9 +43,9 @@
     std::string address;  ///< ip:port
     std::uint64_t serial; ///< increases with each new connection
     instant opened;
-    instant last_used;                ///< end of the last exchange
-    bool pooled = false;              ///< has carried an exchange before
-    const tls::connector* secured_by; ///< null: plain TCP
+    instant last_used;                   ///< end of the last exchange
+    bool pooled = false;                 ///< has carried an exchange before
+    const tls::connector* tls_connector; ///< null: plain TCP
 };
 
 using backend_connection_ptr = std::unique_ptr<backend_connection>;
@@ -58,12 +58,13 @@
 /// Connects, enables the detection of dead peers (keepalive probes and
 /// `TCP_USER_TIMEOUT`), and does the TLS handshake if the connection has a
 /// connector.
-/// @param limit          Time limit for connecting and the handshake together.
-/// @param unacknowledged The value of `TCP_USER_TIMEOUT`.
-/// @return               Whether the connection is ready for use.
+/// @param limit            Time limit for connecting and the handshake
+/// together.
+/// @param tcp_user_timeout The value of `TCP_USER_TIMEOUT`.
+/// @return                 Whether the connection is ready for use.
 asio::awaitable<bool> connect(
     backend_connection& connection,
     std::chrono::steady_clock::duration limit,
-    std::chrono::milliseconds unacknowledged);
+    std::chrono::milliseconds tcp_user_timeout);
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/backend_context.hpp
+++ b/src/adapters/edge/backend_context.hpp
@@ -20,12 +20,12 @@
         clock_port& time,
         event_sink& sink,
         traffic_observer& counts,
-        const tls::connector* secured_by)
+        const tls::connector* tls_connector)
         : options(settings)
         , clock(time)
         , events(sink)
         , observer(counts)
-        , backend_tls(secured_by)
+        , backend_tls(tls_connector)
     {
     }
 
--- a/src/adapters/edge/backend_pool.cpp
+++ b/src/adapters/edge/backend_pool.cpp
@@ -18,7 +18,7 @@
 }
 
 backend_connection_ptr
-backend_pool::take(const std::string& address, duration longest_idle)
+backend_pool::acquire(const std::string& address, duration longest_idle)
 {
     const auto found = this->peers.find(address);
     if (found == this->peers.end())
@@ -29,7 +29,8 @@
         backend_connection_ptr connection = std::move(idle.back());
         idle.pop_back();
         const duration unused = this->context.now() - connection->last_used;
-        if (unused <= longest_idle && this->usable(*connection, found->second))
+        if (unused <= longest_idle &&
+            this->is_usable(*connection, found->second))
             return connection;
     }
     return nullptr;
@@ -45,14 +46,14 @@
         this->context.backend_tls);
 }
 
-bool backend_pool::usable(backend_connection& connection, const peer& at)
+bool backend_pool::is_usable(backend_connection& connection, const peer& at)
 {
     const instant now = this->context.now();
     if (now - connection.opened > this->context.options.connection_max_age)
         return false;
     if (now - connection.last_used > this->context.options.connection_max_idle)
         return false;
-    if (connection.serial <= std::max(at.suspect, at.dropped))
+    if (connection.serial <= std::max(at.suspect_up_to, at.dropped_up_to))
         return false;
     const tls::idle_state state = connection.stream.look();
     if (state == tls::idle_state::has_bytes)
@@ -64,48 +65,48 @@
     return state == tls::idle_state::quiet;
 }
 
-void backend_pool::put(backend_connection_ptr connection)
+void backend_pool::add_idle(backend_connection_ptr connection)
 {
     peer& at = this->peers[connection->address];
     connection->last_used = this->context.now();
     const bool full =
         at.idle.size() >= this->context.options.max_idle_connections;
     if (full || connection->buffer.size() != 0 ||
-        !this->usable(*connection, at))
+        !this->is_usable(*connection, at))
         return;
     connection->buffer.shrink_to_fit();
     connection->pooled = true;
     at.idle.push_back(std::move(connection));
 }
 
-void backend_pool::answered(const backend_connection& connection)
+void backend_pool::record_response(const backend_connection& connection)
 {
     const auto found = this->peers.find(connection.address);
     if (found == this->peers.end())
         return;
     peer& at = found->second;
-    if (at.suspect == 0 || connection.serial <= at.suspect)
+    if (at.suspect_up_to == 0 || connection.serial <= at.suspect_up_to)
         return;
-    at.dropped = std::max(at.dropped, at.suspect);
-    at.suspect = 0;
+    at.dropped_up_to = std::max(at.dropped_up_to, at.suspect_up_to);
+    at.suspect_up_to = 0;
     std::erase_if(
         at.idle,
         [&at](const backend_connection_ptr& kept)
         {
-            return kept->serial <= at.dropped;
+            return kept->serial <= at.dropped_up_to;
         });
     this->context.observer.connection_silent(connection.address);
     this->context.events.report(
         event_id::connection_silent, {{"address", connection.address}});
 }
 
-void backend_pool::silent(const backend_connection& connection)
+void backend_pool::record_silence(const backend_connection& connection)
 {
     peer& at = this->peers[connection.address];
     if (connection.pooled)
-        at.suspect = std::max(at.suspect, connection.serial);
-    else if (connection.serial > at.suspect)
-        at.suspect = 0;
+        at.suspect_up_to = std::max(at.suspect_up_to, connection.serial);
+    else if (connection.serial > at.suspect_up_to)
+        at.suspect_up_to = 0;
 }
 
 void backend_pool::cancel(
@@ -126,7 +127,7 @@
             at.idle,
             [&](const backend_connection_ptr& kept)
             {
-                return !this->usable(*kept, at);
+                return !this->is_usable(*kept, at);
             });
     }
     std::erase_if(
@@ -134,7 +135,8 @@
         [](const auto& entry)
         {
             const peer& at = entry.second;
-            return at.idle.empty() && at.suspect == 0 && at.dropped == 0;
+            return at.idle.empty() && at.suspect_up_to == 0 &&
+                   at.dropped_up_to == 0;
         });
 }
 
--- a/src/adapters/edge/backend_pool.hpp
+++ b/src/adapters/edge/backend_pool.hpp
@@ -34,20 +34,20 @@
     ///                     is not suspect and has nothing to read; null if
     ///                     there is none.
     backend_connection_ptr
-    take(const std::string& address, duration longest_idle);
+    acquire(const std::string& address, duration longest_idle);
 
     /// @return A new connection object; call `connect` on it before use.
     backend_connection_ptr make(const std::string& address);
 
     /// Returns a connection to the pool after an exchange that ended cleanly.
-    void put(backend_connection_ptr connection);
+    void add_idle(backend_connection_ptr connection);
 
     /// Records that a response header or the answer to a cancel has arrived on
     /// this connection.
-    void answered(const backend_connection& connection);
+    void record_response(const backend_connection& connection);
 
     /// Records that a progress timer has expired on this connection.
-    void silent(const backend_connection& connection);
+    void record_silence(const backend_connection& connection);
 
     /// Tells an engine to stop the run of a request, on a separate connection.
     /// Best effort: the answer is ignored.
@@ -67,11 +67,11 @@
     struct peer
     {
         std::vector<backend_connection_ptr> idle;
-        std::uint64_t suspect = 0; ///< serials up to this are not used
-        std::uint64_t dropped = 0; ///< serials up to this are dropped
+        std::uint64_t suspect_up_to = 0; ///< serials up to this are not used
+        std::uint64_t dropped_up_to = 0; ///< serials up to this are dropped
     };
 
-    bool usable(backend_connection& connection, const peer& at);
+    bool is_usable(backend_connection& connection, const peer& at);
 
     std::unordered_map<std::string, peer> peers;
     std::uint64_t last_serial = 0;
--- a/src/adapters/edge/backend_request.cpp
+++ b/src/adapters/edge/backend_request.cpp
@@ -34,16 +34,17 @@
 }
 
 /// @return Whether a body is `{"error": "<name>"}`.
-bool names_error(std::string_view body, std::string_view name)
+bool has_error_name(std::string_view body, std::string_view name)
 {
     if (body.size() > max_refusal_bytes)
         return false;
     json::error_code error;
     const json::value parsed = json::parse({body.data(), body.size()}, error);
     const json::object* const object = error ? nullptr : parsed.if_object();
-    const json::value* const said =
+    const json::value* const error_name =
         object ? object->if_contains("error") : nullptr;
-    return said && said->is_string() && said->get_string() == name;
+    return error_name && error_name->is_string() &&
+           error_name->get_string() == name;
 }
 
 } // namespace
@@ -81,16 +82,16 @@
     return beast::iequals(media, "text/event-stream");
 }
 
-bool says_not_run(unsigned status, std::string_view body)
+bool reports_not_run(unsigned status, std::string_view body)
 {
     if (status == status_not_found)
-        return names_error(body, "not_loaded");
-    return status == status_unavailable && names_error(body, "not_run");
+        return has_error_name(body, "not_loaded");
+    return status == status_unavailable && has_error_name(body, "not_run");
 }
 
-bool says_stopped(unsigned status, std::string_view body)
+bool reports_cancelled(unsigned status, std::string_view body)
 {
-    return status == status_internal_error && names_error(body, "cancelled");
+    return status == status_internal_error && has_error_name(body, "cancelled");
 }
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/backend_request.hpp
+++ b/src/adapters/edge/backend_request.hpp
@@ -28,9 +28,9 @@
 bool is_event_stream(const http::fields& header);
 
 /// @return Whether a response of an engine says that the request did not run.
-bool says_not_run(unsigned status, std::string_view body);
+bool reports_not_run(unsigned status, std::string_view body);
 
 /// @return Whether a response of an engine says that a cancel stopped the run.
-bool says_stopped(unsigned status, std::string_view body);
+bool reports_cancelled(unsigned status, std::string_view body);
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/call_headers.hpp
+++ b/src/adapters/edge/call_headers.hpp
@@ -18,7 +18,8 @@
 {
     std::string request_id; ///< empty: the caller sent none
     std::chrono::milliseconds deadline{};
-    std::optional<priority> asked; ///< empty: the highest the caller may use
+    std::optional<priority>
+        requested_priority; ///< empty: the highest the caller may use
     std::string caller = "anonymous";
     std::string idempotency_key; ///< empty: none
     stamp_ms key_issued = 0;     ///< by the caller's clock; 0: not sent
--- a/src/adapters/edge/call_identity.cpp
+++ b/src/adapters/edge/call_identity.cpp
@@ -13,9 +13,9 @@
 
 /// First character of a derived key. Keys sent by callers have only printable
 /// characters, so the two kinds never collide.
-constexpr char derived_mark = '\x01';
+constexpr char derived_key_prefix = '\x01';
 
-std::string join(std::string_view first, std::string_view second)
+std::string join_terminated(std::string_view first, std::string_view second)
 {
     std::string text;
     text.reserve(first.size() + second.size() + 2);
@@ -31,7 +31,7 @@
 claim_key make_claim_key(
     std::string_view caller, std::string_view target, std::string_view key)
 {
-    const std::string text = join(caller, target).append(key);
+    const std::string text = join_terminated(caller, target).append(key);
     const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
     return {hash.high64, hash.low64};
 }
@@ -41,7 +41,7 @@
     std::string_view target,
     std::string_view request_id)
 {
-    std::string key(1, derived_mark);
+    std::string key(1, derived_key_prefix);
     key.append(request_id);
     return make_claim_key(caller, target, key);
 }
@@ -49,7 +49,7 @@
 fingerprint make_fingerprint(
     std::string_view target, std::string_view path, std::string_view body)
 {
-    const std::string head = join(target, path);
+    const std::string head = join_terminated(target, path);
     const XXH64_hash_t seed = XXH3_64bits(head.data(), head.size());
     const XXH64_hash_t hash =
         XXH3_64bits_withSeed(body.data(), body.size(), seed);
--- a/src/adapters/edge/call_inbox.cpp
+++ b/src/adapters/edge/call_inbox.cpp
@@ -9,7 +9,7 @@
 
 call_inbox::call_inbox(asio::any_io_executor loop)
     : executor(std::move(loop))
-    , signal(this->executor, asio::steady_timer::time_point::max())
+    , wakeup(this->executor, asio::steady_timer::time_point::max())
 {
 }
 
@@ -20,7 +20,7 @@
         [self = this->shared_from_this(), answer]
         {
             self->replies.push_back(answer);
-            self->signal.cancel();
+            self->wakeup.cancel();
         });
 }
 
@@ -31,7 +31,7 @@
         [self = this->shared_from_this(), result]
         {
             self->claim = result;
-            self->signal.cancel();
+            self->wakeup.cancel();
         });
 }
 
@@ -49,7 +49,7 @@
 
 void call_inbox::interrupt()
 {
-    this->signal.cancel();
+    this->wakeup.cancel();
     if (this->on_interrupt && this->interrupted())
         this->on_interrupt();
 }
@@ -71,7 +71,7 @@
     co_return answer;
 }
 
-asio::awaitable<claim_result> call_inbox::claim_answer()
+asio::awaitable<claim_result> call_inbox::wait_for_claim()
 {
     while (!this->claim)
         co_await this->wait();
@@ -80,7 +80,7 @@
 
 asio::awaitable<void> call_inbox::wait()
 {
-    co_await this->signal.async_wait(quietly);
+    co_await this->wakeup.async_wait(use_awaitable_tuple);
 }
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/call_inbox.hpp
+++ b/src/adapters/edge/call_inbox.hpp
@@ -44,9 +44,9 @@
     asio::awaitable<std::optional<dispatch_port::reply>> next_reply();
 
     /// @return The result of the claim, even if the caller has left.
-    asio::awaitable<claim_result> claim_answer();
+    asio::awaitable<claim_result> wait_for_claim();
 
-    bool left() const
+    bool caller_has_left() const
     {
         return this->has_left;
     }
@@ -79,7 +79,7 @@
     void interrupt();
 
     asio::any_io_executor executor;
-    asio::steady_timer signal;
+    asio::steady_timer wakeup;
     std::deque<dispatch_port::reply> replies;
     std::optional<claim_result> claim;
     bool has_left = false;
--- a/src/adapters/edge/call_problem.cpp
+++ b/src/adapters/edge/call_problem.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-struct reason_text
+struct status_and_title
 {
     unsigned status;
     std::string_view title;
 };
 
-reason_text describe(refusal_reason reason)
+status_and_title describe(refusal_reason reason)
 {
     switch (reason)
     {
@@ -69,7 +69,7 @@
     return {500, "No answer"};
 }
 
-std::string_view bad_title(unsigned status)
+std::string_view client_error_title(unsigned status)
 {
     switch (status)
     {
@@ -103,11 +103,11 @@
 
 } // namespace
 
-call_problem bad_call(std::string detail, unsigned status)
+call_problem client_error(std::string detail, unsigned status)
 {
     call_problem problem;
     problem.status = status;
-    problem.title = bad_title(status);
+    problem.title = client_error_title(status);
     problem.detail = std::move(detail);
     return problem;
 }
@@ -115,7 +115,7 @@
 call_problem
 make_problem(refusal_reason reason, verdict outcome, duration retry_after)
 {
-    const reason_text text = describe(reason);
+    const status_and_title text = describe(reason);
     call_problem problem;
     problem.status = text.status;
     problem.outcome = outcome;
@@ -129,7 +129,7 @@
 }
 
 std::string
-to_document(const call_problem& problem, std::string_view request_id)
+to_problem_json(const call_problem& problem, std::string_view request_id)
 {
     boost::json::object document;
     document["type"] = "about:blank";
--- a/src/adapters/edge/call_problem.hpp
+++ b/src/adapters/edge/call_problem.hpp
@@ -25,7 +25,7 @@
 /// @param detail What is invalid; names the header or member.
 /// @param status A 4xx or 5xx status.
 /// @return       The problem of a call that was rejected and did not run.
-call_problem bad_call(std::string detail, unsigned status = 400);
+call_problem client_error(std::string detail, unsigned status = 400);
 
 /// @return The problem with the status and title of a reason.
 call_problem
@@ -33,6 +33,6 @@
 
 /// @return The `application/problem+json` document.
 std::string
-to_document(const call_problem& problem, std::string_view request_id);
+to_problem_json(const call_problem& problem, std::string_view request_id);
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/call_runner.cpp
+++ b/src/adapters/edge/call_runner.cpp
@@ -19,10 +19,10 @@
 /// Detects that the caller closes its connection while its call runs. Does not
 /// access the connection after the call has finished.
 asio::awaitable<void>
-watch(caller_connection& caller, std::shared_ptr<call_inbox> inbox)
+watch_for_close(caller_connection& caller, std::shared_ptr<call_inbox> inbox)
 {
     const auto [error] = co_await caller.stream.socket().async_wait(
-        tcp::socket::wait_read, quietly);
+        tcp::socket::wait_read, use_awaitable_tuple);
     if (error || inbox->finished())
         co_return;
     if (caller.peer_closed())
@@ -43,7 +43,7 @@
     return claim_outcome::may_have_run;
 }
 
-std::string_view to_text(claim_outcome outcome)
+std::string_view claim_outcome_name(claim_outcome outcome)
 {
     switch (outcome)
     {
@@ -61,7 +61,7 @@
 
 /// The claim stores no content type, so JSON is recognised by its first
 /// character.
-std::string_view guess_type(std::string_view body)
+std::string_view guess_content_type(std::string_view body)
 {
     const bool json = body.starts_with('{') || body.starts_with('[');
     return json ? "application/json" : "application/octet-stream";
@@ -79,10 +79,10 @@
     , caller(connection)
     , call(std::move(prepared))
     , inbox(std::make_shared<call_inbox>(connections.executor))
-    , stream(connection, this->frame(), shared.ports.observer)
+    , stream(connection, this->make_context(), shared.ports.observer)
 {
     this->record.kind = this->call.target.kind;
-    this->record.asked = this->call.info.asked;
+    this->record.requested_priority = this->call.info.asked;
 }
 
 call_runner::~call_runner()
@@ -100,17 +100,19 @@
                 open->post_reply(answer);
         });
     asio::co_spawn(
-        this->pool.executor, watch(this->caller, this->inbox), asio::detached);
+        this->pool.executor,
+        watch_for_close(this->caller, this->inbox),
+        asio::detached);
     co_await this->serve();
-    if (!this->call.run_left_at.empty())
+    if (!this->call.unfinished_run_address.empty())
         this->pool.cancel(
-            this->call.run_left_at, this->call.headers.request_id);
+            this->call.unfinished_run_address, this->call.headers.request_id);
     this->inbox->finish();
     beast::error_code ignored;
     this->caller.stream.socket().cancel(ignored);
     this->report();
-    co_return this->connection_usable && !this->inbox->left() &&
-        this->frame().keep_alive;
+    co_return this->connection_usable && !this->inbox->caller_has_left() &&
+        this->make_context().keep_alive;
 }
 
 asio::awaitable<void> call_runner::serve()
@@ -124,9 +126,9 @@
             co_await this->answer_interrupted();
             co_return;
         }
-        if (const auto* no = std::get_if<refusal>(&*reply))
+        if (const auto* refused = std::get_if<refusal>(&*reply))
         {
-            co_await this->answer_refused(*no);
+            co_await this->answer_refused(*refused);
             co_return;
         }
         const bool final_answer =
@@ -152,8 +154,8 @@
              {"servable", this->call.info.target},
              {"attempt", this->record.attempts}});
     }
-    backend_leg leg(this->pool, this->call, *this->inbox, this->stream);
-    leg_outcome outcome = co_await leg.run(std::move(where));
+    backend_attempt leg(this->pool, this->call, *this->inbox, this->stream);
+    attempt_outcome outcome = co_await leg.run(std::move(where));
     const bool ran = outcome.sent && outcome.result.how != end::refused_not_run;
     this->may_have_run = this->may_have_run || ran;
     this->record.first_byte = outcome.result.first_byte;
@@ -163,7 +165,7 @@
     if (outcome.result.how == end::answered)
     {
         if (outcome.answer)
-            co_await this->answer_whole(std::move(*outcome.answer));
+            co_await this->send_buffered(std::move(*outcome.answer));
         else
             this->close_claim(verdict::answered, this->stream.status());
         co_return true;
@@ -173,11 +175,12 @@
         co_await this->answer_interrupted();
         co_return true;
     }
-    const bool again = !finish.final_answer;
-    const bool allowed = this->call.info.repeatable || !this->may_have_run;
-    if (again && allowed)
+    const bool retry_granted = !finish.final_answer;
+    const bool retry_allowed =
+        this->call.info.repeatable || !this->may_have_run;
+    if (retry_granted && retry_allowed)
         co_return false;
-    if (again)
+    if (retry_granted)
         this->context.ports.dispatch.abandon(this->request);
     co_await this->answer_failed(finish);
     co_return true;
@@ -196,10 +199,10 @@
         });
     // Waits for the result even if the call must end: a claim that is granted
     // to it afterwards must still be closed.
-    claim_result result = co_await this->inbox->claim_answer();
+    claim_result result = co_await this->inbox->wait_for_claim();
     this->claim_held = result.result == claim_result::status::granted;
     const bool late = this->call.deadline <= this->context.now();
-    const bool ended = this->inbox->left() || this->inbox->forced();
+    const bool ended = this->inbox->caller_has_left() || this->inbox->forced();
     if (this->claim_held && !late && !ended)
     {
         this->inbox->outlives_caller = true;
@@ -252,15 +255,15 @@
         co_await this->send_refusal(std::move(reused));
         co_return;
     }
-    const bool kept =
+    const bool has_stored_answer =
         held.http_status != 0 &&
         (!held.body.empty() || held.http_status == status_no_content);
-    if (held.outcome == claim_outcome::answered && kept)
+    if (held.outcome == claim_outcome::answered && has_stored_answer)
     {
-        whole_answer answer = make_answer(
-            this->frame(),
+        buffered_response answer = make_response(
+            this->make_context(),
             held.http_status,
-            guess_type(held.body),
+            guess_content_type(held.body),
             std::move(held.body));
         answer.set("X-Roseworks-Replayed", "1");
         this->record.replayed = true;
@@ -271,10 +274,10 @@
         event_id::claim_lost,
         {{"request_id", this->call.headers.request_id},
          {"caller", this->call.headers.caller},
-         {"holder", to_text(held.outcome)}});
+         {"holder", claim_outcome_name(held.outcome)}});
     call_problem problem =
         make_problem(refusal_reason::claim_held, verdict::not_run);
-    problem.holder = to_text(held.outcome);
+    problem.holder = claim_outcome_name(held.outcome);
     problem.detail = "another call holds the key; this one did not run";
     if (held.outcome == claim_outcome::open)
         problem.retry_after = this->context.options.claim_retry_after;
@@ -283,7 +286,7 @@
 
 asio::awaitable<void> call_runner::answer_refused(refusal why)
 {
-    const verdict outcome = this->truthful(why.outcome);
+    const verdict outcome = this->corrected_verdict(why.outcome);
     this->close_claim(outcome);
     call_problem problem = make_problem(why.reason, outcome, why.retry_after);
     co_await this->send_refusal(std::move(problem));
@@ -291,10 +294,11 @@
 
 asio::awaitable<void> call_runner::answer_interrupted()
 {
-    const verdict outcome = this->truthful(verdict::not_run);
+    const verdict outcome = this->corrected_verdict(verdict::not_run);
     this->close_claim(outcome);
-    this->note_failure(outcome, refusal_reason::none);
-    const bool forced = this->inbox->forced() && !this->inbox->left();
+    this->record_failure(outcome, refusal_reason::none);
+    const bool forced =
+        this->inbox->forced() && !this->inbox->caller_has_left();
     if (forced)
     {
         call_problem problem = make_problem(refusal_reason::draining, outcome);
@@ -313,37 +317,38 @@
 
 asio::awaitable<void> call_runner::answer_failed(dispatcher::finish how)
 {
-    const verdict outcome = this->truthful(how.outcome);
+    const verdict outcome = this->corrected_verdict(how.outcome);
     this->close_claim(outcome);
-    const bool unnamed = how.reason == refusal_reason::none;
+    const bool without_reason = how.reason == refusal_reason::none;
     call_problem problem = make_problem(
-        unnamed ? refusal_reason::backend_failed : how.reason,
+        without_reason ? refusal_reason::backend_failed : how.reason,
         outcome,
         how.retry_after);
     co_await this->send_refusal(std::move(problem));
 }
 
-asio::awaitable<void> call_runner::answer_whole(whole_answer answer)
+asio::awaitable<void> call_runner::send_buffered(buffered_response answer)
 {
     this->close_claim(verdict::answered, answer.result_int(), answer.body());
-    whole_answer passed;
-    passed.result(answer.result_int());
-    passed.version(this->call.version);
-    copy_end_to_end(answer, passed);
-    stamp(passed, this->call.headers.request_id, verdict::answered);
-    passed.keep_alive(this->frame().keep_alive);
-    passed.body() = std::move(answer.body());
+    buffered_response forwarded;
+    forwarded.result(answer.result_int());
+    forwarded.version(this->call.version);
+    copy_end_to_end_headers(answer, forwarded);
+    set_router_headers(
+        forwarded, this->call.headers.request_id, verdict::answered);
+    forwarded.keep_alive(this->make_context().keep_alive);
+    forwarded.body() = std::move(answer.body());
     if (this->call.method != http::verb::head)
-        passed.prepare_payload();
+        forwarded.prepare_payload();
     else if (answer.has_content_length())
-        passed.set(
+        forwarded.set(
             http::field::content_length, answer[http::field::content_length]);
-    co_await this->send(std::move(passed));
+    co_await this->send(std::move(forwarded));
 }
 
 asio::awaitable<void> call_runner::send_refusal(call_problem problem)
 {
-    this->note_failure(problem.outcome, problem.reason);
+    this->record_failure(problem.outcome, problem.reason);
     if (this->stream.started())
     {
         this->record.status = this->stream.status();
@@ -366,11 +371,12 @@
          {"priority", to_string(this->call.info.asked)},
          {"reason", to_string(problem.reason)},
          {"status", problem.status}});
-    whole_answer answer = make_refusal(this->frame(), problem);
+    buffered_response answer =
+        make_problem_response(this->make_context(), problem);
     co_await this->send(std::move(answer));
 }
 
-asio::awaitable<void> call_runner::send(whole_answer answer)
+asio::awaitable<void> call_runner::send(buffered_response answer)
 {
     this->record.status = answer.result_int();
     bool sent = false;
@@ -385,13 +391,13 @@
     }
 }
 
-verdict call_runner::truthful(verdict told) const
+verdict call_runner::corrected_verdict(verdict reported) const
 {
-    const bool wrong = told == verdict::not_run && this->may_have_run;
-    return wrong ? verdict::may_have_run : told;
+    const bool wrong = reported == verdict::not_run && this->may_have_run;
+    return wrong ? verdict::may_have_run : reported;
 }
 
-void call_runner::note_failure(verdict outcome, refusal_reason reason)
+void call_runner::record_failure(verdict outcome, refusal_reason reason)
 {
     this->record.outcome = outcome;
     this->record.reason = reason;
@@ -406,12 +412,12 @@
     what.key = this->call.claim->key;
     what.outcome = to_claim_outcome(outcome);
     what.status = static_cast<std::uint16_t>(status);
-    if (body.size() <= this->context.options.max_kept_answer_bytes)
+    if (body.size() <= this->context.options.max_stored_answer_bytes)
         what.body = std::move(body);
     this->context.ports.claims.close(std::move(what));
 }
 
-answer_frame call_runner::frame() const
+response_context call_runner::make_context() const
 {
     return {
         this->call.headers.request_id,
--- a/src/adapters/edge/call_runner.hpp
+++ b/src/adapters/edge/call_runner.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "adapters/edge/backend_leg.hpp"
+#include "adapters/edge/backend_attempt.hpp"
 #include "adapters/edge/backend_pool.hpp"
 #include "adapters/edge/call_inbox.hpp"
 #include "adapters/edge/caller_connection.hpp"
 #include "adapters/edge/edge_context.hpp"
 #include "adapters/edge/prepared_call.hpp"
-#include "adapters/edge/stream_answer.hpp"
+#include "adapters/edge/stream_response.hpp"
 #include "adapters/edge/traffic_observer.hpp"
 
 #include <memory>
@@ -55,17 +55,17 @@
     asio::awaitable<void> answer_refused(refusal why);
     asio::awaitable<void> answer_interrupted();
     asio::awaitable<void> answer_failed(dispatcher::finish how);
-    asio::awaitable<void> answer_whole(whole_answer answer);
+    asio::awaitable<void> send_buffered(buffered_response answer);
     asio::awaitable<void> send_refusal(call_problem problem);
-    asio::awaitable<void> send(whole_answer answer);
+    asio::awaitable<void> send(buffered_response answer);
 
     /// @return The verdict, but `may_have_run` instead of `not_run` once an
     ///         attempt may have run.
-    verdict truthful(verdict told) const;
-    void note_failure(verdict outcome, refusal_reason reason);
+    verdict corrected_verdict(verdict reported) const;
+    void record_failure(verdict outcome, refusal_reason reason);
     void
     close_claim(verdict outcome, unsigned status = 0, std::string body = {});
-    answer_frame frame() const;
+    response_context make_context() const;
 
     /// For handlers kept by the ports, which may outlive the event loop.
     std::weak_ptr<call_inbox> weak_inbox() const
@@ -80,7 +80,7 @@
     caller_connection& caller;
     prepared_call call;
     std::shared_ptr<call_inbox> inbox;
-    stream_answer stream;
+    stream_response stream;
     ticket request;
     bool claim_held = false;   ///< this call holds the claim, still open
     bool may_have_run = false; ///< a server may have run an attempt
--- a/src/adapters/edge/caller_connection.cpp
+++ b/src/adapters/edge/caller_connection.cpp
@@ -20,8 +20,8 @@
 {
 
 constexpr std::size_t read_bytes = std::size_t(4) << 10;
-constexpr std::size_t linger_bytes = std::size_t(256) << 10;
-constexpr std::chrono::seconds linger_time{1};
+constexpr std::size_t max_linger_bytes = std::size_t(256) << 10;
+constexpr std::chrono::seconds linger_timeout{1};
 constexpr std::string_view continue_answer = "HTTP/1.1 100 Continue\r\n\r\n";
 
 caller_read closed()
@@ -32,10 +32,11 @@
 caller_read malformed(std::string detail, unsigned status)
 {
     return {
-        caller_read::status::malformed, bad_call(std::move(detail), status)};
+        caller_read::status::malformed,
+        client_error(std::move(detail), status)};
 }
 
-caller_read from_parser(beast::error_code error)
+caller_read to_read_result(beast::error_code error)
 {
     if (error == http::error::body_limit)
         return malformed("the body is over the limit", 413);
@@ -85,7 +86,7 @@
     const std::size_t used = parser.put(this->buffer.data(), error);
     this->buffer.consume(used);
     if (error)
-        co_return from_parser(error);
+        co_return to_read_result(error);
     if (!parser.is_header_done())
         co_return malformed("the head is incomplete", 400);
     co_return caller_read{};
@@ -99,9 +100,9 @@
     this->buffer.shrink_to_fit();
     this->between_requests = true;
     this->stream.expires_after(idle);
-    const bool came = co_await this->read_some();
+    const bool received = co_await this->read_some();
     this->between_requests = false;
-    if (!came)
+    if (!received)
         co_return closed();
     co_return caller_read{};
 }
@@ -119,8 +120,8 @@
             co_return malformed("the header is over the limit", 431);
         if (known == head_scan::status::complete)
             co_return caller_read{};
-        const bool came = co_await this->read_some();
-        if (!came)
+        const bool received = co_await this->read_some();
+        if (!received)
             co_return closed();
     }
 }
@@ -129,7 +130,7 @@
 {
     const auto space = this->buffer.prepare(read_bytes);
     const auto [error, size] =
-        co_await this->stream.async_read_some(space, quietly);
+        co_await this->stream.async_read_some(space, use_awaitable_tuple);
     if (error)
         co_return false;
     this->buffer.commit(size);
@@ -150,31 +151,31 @@
     if (parser.is_done())
         co_return caller_read{};
     this->stream.expires_after(this->options.body_timeout);
-    const auto [error, size] =
-        co_await http::async_read(this->stream, this->buffer, parser, quietly);
+    const auto [error, size] = co_await http::async_read(
+        this->stream, this->buffer, parser, use_awaitable_tuple);
     if (!error)
         co_return caller_read{};
     if (is_http_error(error) && error != http::error::partial_message &&
         error != http::error::end_of_stream)
-        co_return from_parser(error);
+        co_return to_read_result(error);
     co_return closed();
 }
 
-asio::awaitable<bool> caller_connection::write(whole_answer& answer)
+asio::awaitable<bool> caller_connection::write(buffered_response& answer)
 {
     this->expire_write();
     const auto [error, size] =
-        co_await http::async_write(this->stream, answer, quietly);
+        co_await http::async_write(this->stream, answer, use_awaitable_tuple);
     co_return !error;
 }
 
 asio::awaitable<bool>
-caller_connection::write_head_only(const whole_answer& answer)
+caller_connection::write_head_only(const buffered_response& answer)
 {
     http::response_serializer<http::string_body> serializer(answer);
     this->expire_write();
-    const auto [error, size] =
-        co_await http::async_write_header(this->stream, serializer, quietly);
+    const auto [error, size] = co_await http::async_write_header(
+        this->stream, serializer, use_awaitable_tuple);
     co_return !error;
 }
 
@@ -183,13 +184,13 @@
     this->expire_write();
     const asio::const_buffer data(bytes.data(), bytes.size());
     const auto [error, size] =
-        co_await asio::async_write(this->stream, data, quietly);
+        co_await asio::async_write(this->stream, data, use_awaitable_tuple);
     co_return !error;
 }
 
 asio::awaitable<void> caller_connection::linger_close()
 {
-    this->stream.expires_after(linger_time);
+    this->stream.expires_after(linger_timeout);
     co_await this->stream.finish_tls();
     beast::error_code error;
     this->stream.socket().shutdown(tcp::socket::shutdown_send, error);
@@ -197,10 +198,10 @@
         co_return;
     std::array<char, read_bytes> discarded;
     std::size_t total = 0;
-    while (total < linger_bytes)
+    while (total < max_linger_bytes)
     {
         const auto [failed, size] = co_await this->stream.async_read_raw(
-            asio::buffer(discarded), quietly);
+            asio::buffer(discarded), use_awaitable_tuple);
         if (failed)
             co_return;
         total += size;
--- a/src/adapters/edge/caller_connection.hpp
+++ b/src/adapters/edge/caller_connection.hpp
@@ -18,7 +18,7 @@
 {
 
 using caller_parser = http::request_parser<http::string_body>;
-using whole_answer = http::response<http::string_body>;
+using buffered_response = http::response<http::string_body>;
 
 /// The result of a read from the caller.
 struct caller_read
@@ -58,10 +58,10 @@
     asio::awaitable<caller_read> read_body(caller_parser& parser);
 
     /// @return Whether the kernel has accepted the whole response.
-    asio::awaitable<bool> write(whole_answer& answer);
+    asio::awaitable<bool> write(buffered_response& answer);
 
     /// Writes the header only, in response to a HEAD request.
-    asio::awaitable<bool> write_head_only(const whole_answer& answer);
+    asio::awaitable<bool> write_head_only(const buffered_response& answer);
 
     /// Starts the time limit of one write.
     void expire_write()
--- a/src/adapters/edge/caller_session.cpp
+++ b/src/adapters/edge/caller_session.cpp
@@ -1,8 +1,8 @@
 #include "adapters/edge/caller_session.hpp"
 
-#include "adapters/edge/answer_header.hpp"
 #include "adapters/edge/request_framing.hpp"
-#include "adapters/edge/text_rules.hpp"
+#include "adapters/edge/response_builder.hpp"
+#include "adapters/edge/text_validation.hpp"
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
@@ -22,20 +22,20 @@
 namespace
 {
 
-constexpr std::size_t max_request_id = 64;
+constexpr std::size_t max_request_id_length = 64;
 /// Time limit during a drain for the first byte of a request on a connection
 /// that is already open.
-constexpr std::chrono::milliseconds drain_idle{500};
+constexpr std::chrono::milliseconds drain_idle_timeout{500};
 /// Part of the deadline reserved for sending the response, so that a refusal at
 /// the last moment still reaches the caller in time. For short deadlines it is
-/// at most the whole divided by `answer_share`.
-constexpr std::chrono::milliseconds answer_margin{25};
-constexpr int answer_share = 20;
+/// at most the whole divided by `send_margin_divisor`.
+constexpr std::chrono::milliseconds send_margin{25};
+constexpr int send_margin_divisor = 20;
 
-duration time_to_answer(std::chrono::milliseconds deadline)
+duration usable_time(std::chrono::milliseconds deadline)
 {
     const duration whole = deadline;
-    return whole - std::min<duration>(answer_margin, whole / answer_share);
+    return whole - std::min<duration>(send_margin, whole / send_margin_divisor);
 }
 
 std::string_view view(beast::string_view text)
@@ -45,14 +45,14 @@
 
 /// The request id to echo in an error response; empty if the caller sent none
 /// or an invalid one.
-std::string id_of(const http::fields& header)
+std::string usable_request_id(const http::fields& header)
 {
     const std::string_view id = view(header["X-Request-Id"]);
-    return is_name(id, max_request_id) ? std::string(id) : std::string();
+    return is_name(id, max_request_id_length) ? std::string(id) : std::string();
 }
 
 leaf::result<prepared_call>
-read_head(const caller_parser::value_type& head, const edge_options& options)
+parse_head(const caller_parser::value_type& head, const edge_options& options)
 {
     BOOST_LEAF_CHECK(check_framing(head, head.version()));
     prepared_call call;
@@ -70,7 +70,7 @@
     return call;
 }
 
-call_problem unknown_fault()
+call_problem unknown_problem()
 {
     return make_problem(refusal_reason::none, verdict::not_run);
 }
@@ -91,7 +91,7 @@
         },
         []
         {
-            return std::optional(unknown_fault());
+            return std::optional(unknown_problem());
         });
 }
 
@@ -109,9 +109,9 @@
 
 asio::awaitable<void> caller_session::run()
 {
-    bool more = co_await this->secure();
-    while (more)
-        more = co_await this->serve_one();
+    bool keep_open = co_await this->secure();
+    while (keep_open)
+        keep_open = co_await this->serve_one();
     co_await this->connection.linger_close();
 }
 
@@ -124,7 +124,7 @@
     co_return done;
 }
 
-asio::awaitable<void> caller_session::turn_away()
+asio::awaitable<void> caller_session::reject_over_limit()
 {
     const bool secured = co_await this->secure();
     if (!secured)
@@ -132,9 +132,10 @@
     call_problem problem =
         make_problem(refusal_reason::queue_full, verdict::not_run);
     problem.detail = "too many connections";
-    answer_frame frame;
-    frame.request_id = this->context.next_request_id();
-    co_await this->refuse(std::move(problem), nullptr, std::move(frame));
+    response_context answer_context;
+    answer_context.request_id = this->context.next_request_id();
+    co_await this->refuse(
+        std::move(problem), nullptr, std::move(answer_context));
     co_await this->connection.linger_close();
 }
 
@@ -157,25 +158,27 @@
     parser.header_limit(
         static_cast<std::uint32_t>(this->context.options.max_header_bytes));
     parser.body_limit(this->context.options.max_body_bytes);
-    answer_frame early;
-    early.request_id = this->context.next_request_id();
-    const auto idle =
-        this->context.draining ? drain_idle : this->context.options.caller_idle;
+    response_context default_context;
+    default_context.request_id = this->context.next_request_id();
+    const auto idle = this->context.draining
+                          ? drain_idle_timeout
+                          : this->context.options.caller_idle;
     caller_read read = co_await this->connection.read_head(parser, idle);
     if (read.result == caller_read::status::closed)
         co_return false;
     if (read.result == caller_read::status::malformed)
     {
-        co_await this->refuse(std::move(read.problem), nullptr, early);
+        co_await this->refuse(
+            std::move(read.problem), nullptr, default_context);
         co_return false;
     }
-    const std::string id = id_of(parser.get());
+    const std::string id = usable_request_id(parser.get());
     if (!id.empty())
-        early.request_id = id;
+        default_context.request_id = id;
     checked_head head = this->check(parser);
     if (auto* problem = std::get_if<call_problem>(&head))
     {
-        co_await this->refuse(std::move(*problem), nullptr, early);
+        co_await this->refuse(std::move(*problem), nullptr, default_context);
         co_return false;
     }
     prepared_call call = std::get<prepared_call>(std::move(head));
@@ -184,12 +187,12 @@
         co_return false;
     if (read.result == caller_read::status::malformed)
     {
-        co_await this->refuse(std::move(read.problem), &call, early);
+        co_await this->refuse(std::move(read.problem), &call, default_context);
         co_return false;
     }
     call.body = std::move(parser.get().body());
-    const bool more = co_await this->serve(std::move(call));
-    co_return more;
+    const bool keep_open = co_await this->serve(std::move(call));
+    co_return keep_open;
 }
 
 caller_session::checked_head caller_session::check(const caller_parser& parser)
@@ -199,33 +202,33 @@
         [&]() -> leaf::result<void>
         {
             BOOST_LEAF_ASSIGN(
-                call, read_head(parser.get(), this->context.options));
+                call, parse_head(parser.get(), this->context.options));
             return {};
         });
     if (problem)
         return std::move(*problem);
-    call.id_from_caller = !call.headers.request_id.empty();
-    if (!call.id_from_caller)
+    call.has_caller_request_id = !call.headers.request_id.empty();
+    if (!call.has_caller_request_id)
         call.headers.request_id = this->context.next_request_id();
     call.arrived = this->context.now();
-    call.deadline = call.arrived + time_to_answer(call.headers.deadline);
+    call.deadline = call.arrived + usable_time(call.headers.deadline);
     return call;
 }
 
 asio::awaitable<bool> caller_session::serve(prepared_call call)
 {
-    bool more = false;
+    bool keep_open = false;
     switch (call.target.kind)
     {
     case route_kind::chat:
     case route_kind::completion:
     case route_kind::service:
-        more = co_await this->serve_call(std::move(call));
+        keep_open = co_await this->serve_call(std::move(call));
         break;
     default:
-        more = co_await this->serve_inline(call);
+        keep_open = co_await this->serve_inline(call);
     }
-    co_return more;
+    co_return keep_open;
 }
 
 asio::awaitable<bool> caller_session::serve_call(prepared_call call)
@@ -238,57 +241,64 @@
         });
     if (problem)
     {
-        const answer_frame frame = this->frame_of(call);
-        co_await this->refuse(std::move(*problem), &call, frame);
-        co_return frame.keep_alive;
+        const response_context answer_context = this->context_of(call);
+        co_await this->refuse(std::move(*problem), &call, answer_context);
+        co_return answer_context.keep_alive;
     }
     call_runner runner(
         this->context, this->pool, this->connection, std::move(call));
     this->running = &runner;
-    const bool more = co_await runner.run();
+    const bool keep_open = co_await runner.run();
     this->running = nullptr;
-    co_return more;
+    co_return keep_open;
 }
 
 asio::awaitable<bool> caller_session::serve_inline(const prepared_call& call)
 {
-    whole_answer answer = this->answer_inline(call);
+    buffered_response answer = this->answer_inline(call);
     finished_request record;
     record.kind = call.target.kind;
     record.status = answer.result_int();
-    const bool more = answer.keep_alive();
+    const bool keep_open = answer.keep_alive();
     const bool sent = co_await this->connection.write(answer);
     record.caller_left = !sent;
     record.total = this->context.now() - call.arrived;
     this->context.ports.observer.request_finished(record);
-    co_return sent&& more;
+    co_return sent&& keep_open;
 }
 
-whole_answer caller_session::answer_inline(const prepared_call& call)
+buffered_response caller_session::answer_inline(const prepared_call& call)
 {
-    const introspection_port& self = this->context.ports.introspection;
-    const answer_frame frame = this->frame_of(call);
+    const introspection_port& router_state = this->context.ports.introspection;
+    const response_context answer_context = this->context_of(call);
     switch (call.target.kind)
     {
     case route_kind::models:
-        return make_answer(frame, 200, "application/json", this->models_text());
+        return make_response(
+            answer_context, 200, "application/json", this->models_json());
     case route_kind::metrics:
-        return make_answer(
-            frame, 200, "text/plain; version=0.0.4", self.metrics_text());
+        return make_response(
+            answer_context,
+            200,
+            "text/plain; version=0.0.4",
+            router_state.metrics_text());
     case route_kind::state:
-        return make_answer(frame, 200, "application/json", self.state_text());
+        return make_response(
+            answer_context, 200, "application/json", router_state.state_text());
     case route_kind::readyz:
         if (this->context.draining)
-            return make_answer(frame, 503, "text/plain", "draining\n");
-        if (!self.ready())
-            return make_answer(frame, 503, "text/plain", "not ready\n");
-        return make_answer(frame, 200, "text/plain", "ready\n");
+            return make_response(
+                answer_context, 503, "text/plain", "draining\n");
+        if (!router_state.ready())
+            return make_response(
+                answer_context, 503, "text/plain", "not ready\n");
+        return make_response(answer_context, 200, "text/plain", "ready\n");
     default:
-        return make_answer(frame, 200, "text/plain", "alive\n");
+        return make_response(answer_context, 200, "text/plain", "alive\n");
     }
 }
 
-std::string caller_session::models_text() const
+std::string caller_session::models_json() const
 {
     const routing_table_ptr table = this->context.ports.table();
     json::array list;
@@ -310,32 +320,34 @@
 }
 
 asio::awaitable<void> caller_session::refuse(
-    call_problem problem, const prepared_call* call, answer_frame frame)
+    call_problem problem,
+    const prepared_call* call,
+    response_context answer_context)
 {
     beast::error_code ignored;
     const auto peer = this->connection.stream.socket().remote_endpoint(ignored);
     const std::string address = peer.address().to_string();
     this->context.ports.events.report(
         event_id::bad_request,
-        {{"request_id", frame.request_id},
+        {{"request_id", answer_context.request_id},
          {"address", address},
          {"status", problem.status},
          {"reason", problem.detail}});
     finished_request record;
     record.kind = call ? call->target.kind : route_kind::chat;
-    record.understood = call != nullptr;
+    record.parsed = call != nullptr;
     record.status = problem.status;
     record.outcome = problem.outcome;
     record.reason = problem.reason;
     if (call)
         record.total = this->context.now() - call->arrived;
-    whole_answer answer = make_refusal(frame, problem);
+    buffered_response answer = make_problem_response(answer_context, problem);
     const bool sent = co_await this->connection.write(answer);
     record.caller_left = !sent;
     this->context.ports.observer.request_finished(record);
 }
 
-answer_frame caller_session::frame_of(const prepared_call& call) const
+response_context caller_session::context_of(const prepared_call& call) const
 {
     return {
         call.headers.request_id,
--- a/src/adapters/edge/caller_session.hpp
+++ b/src/adapters/edge/caller_session.hpp
@@ -22,7 +22,7 @@
     asio::awaitable<void> run();
 
     /// Responds that too many connections are open, then closes.
-    asio::awaitable<void> turn_away();
+    asio::awaitable<void> reject_over_limit();
 
     /// Starts draining: closes the connection if it is idle. Otherwise it is
     /// closed after the response to the running request.
@@ -40,13 +40,15 @@
     asio::awaitable<bool> serve(prepared_call call);
     asio::awaitable<bool> serve_call(prepared_call call);
     asio::awaitable<bool> serve_inline(const prepared_call& call);
-    asio::awaitable<void>
-    refuse(call_problem problem, const prepared_call* call, answer_frame frame);
+    asio::awaitable<void> refuse(
+        call_problem problem,
+        const prepared_call* call,
+        response_context answer_context);
 
     checked_head check(const caller_parser& parser);
-    whole_answer answer_inline(const prepared_call& call);
-    std::string models_text() const;
-    answer_frame frame_of(const prepared_call& call) const;
+    buffered_response answer_inline(const prepared_call& call);
+    std::string models_json() const;
+    response_context context_of(const prepared_call& call) const;
 
     edge_context& context;
     backend_pool& pool;
--- a/src/adapters/edge/completion_body.cpp
+++ b/src/adapters/edge/completion_body.cpp
@@ -1,7 +1,7 @@
 #include "adapters/edge/completion_body.hpp"
 
 #include "adapters/edge/call_problem.hpp"
-#include "adapters/edge/text_rules.hpp"
+#include "adapters/edge/text_validation.hpp"
 
 #include <boost/json/monotonic_resource.hpp>
 #include <boost/json/parse.hpp>
@@ -25,9 +25,9 @@
 {
 
 constexpr std::size_t max_depth = 32;
-constexpr std::size_t max_model_name = 128;
-constexpr std::int64_t max_max_tokens = 1'000'000;
-constexpr std::size_t head_bytes = 256;
+constexpr std::size_t max_model_name_length = 128;
+constexpr std::int64_t max_tokens_limit = 1'000'000;
+constexpr std::size_t prefix_bytes = 256;
 
 /// Computes the size of the prompt and the hash of its prefix. The hash is the
 /// same as in the cache events of engines: XXH64 of the model name, a line feed
@@ -38,7 +38,7 @@
     void add(std::string_view text)
     {
         this->bytes += text.size();
-        const std::size_t room = head_bytes - this->head.size();
+        const std::size_t room = prefix_bytes - this->head.size();
         this->head.append(text.substr(0, std::min(room, text.size())));
     }
 
@@ -74,12 +74,12 @@
     const json::array* const list = prompt ? prompt->if_array() : nullptr;
     if (!list || list->empty())
         return leaf::new_error(
-            bad_call("prompt takes a string or a list of strings"));
+            client_error("prompt takes a string or a list of strings"));
     for (const json::value& item : *list)
     {
         if (!item.is_string())
             return leaf::new_error(
-                bad_call("prompt takes a string or a list of strings"));
+                client_error("prompt takes a string or a list of strings"));
         digest.add(text_of(item));
     }
     return {};
@@ -91,7 +91,7 @@
 {
     const json::object* const object = part.if_object();
     if (!object)
-        return leaf::new_error(bad_call("content takes a list of objects"));
+        return leaf::new_error(client_error("content takes a list of objects"));
     const json::value* const text = object->if_contains("text");
     if (text && text->is_string())
         digest.add(text_of(*text));
@@ -104,7 +104,7 @@
     const json::value* const role =
         message ? message->if_contains("role") : nullptr;
     if (!role || !role->is_string())
-        return leaf::new_error(bad_call("each message needs a role"));
+        return leaf::new_error(client_error("each message needs a role"));
     const json::value* const content = message->if_contains("content");
     if (!content || content->is_null())
         return {};
@@ -114,7 +114,8 @@
         return {};
     }
     if (!content->is_array())
-        return leaf::new_error(bad_call("content takes a string or a list"));
+        return leaf::new_error(
+            client_error("content takes a string or a list"));
     for (const json::value& part : content->get_array())
     {
         BOOST_LEAF_CHECK(read_part(part, digest));
@@ -127,7 +128,8 @@
 {
     const json::value* const messages = body.if_contains("messages");
     if (!messages || !messages->is_array() || messages->get_array().empty())
-        return leaf::new_error(bad_call("messages takes a list of messages"));
+        return leaf::new_error(
+            client_error("messages takes a list of messages"));
     bool first = true;
     for (const json::value& message : messages->get_array())
     {
@@ -142,10 +144,10 @@
 {
     const json::value* const model = body.if_contains("model");
     if (!model || !model->is_string())
-        return leaf::new_error(bad_call("model takes a name"));
+        return leaf::new_error(client_error("model takes a name"));
     into.model = text_of(*model);
-    if (!is_printable(into.model, max_model_name, false))
-        return leaf::new_error(bad_call(
+    if (!is_printable(into.model, max_model_name_length, false))
+        return leaf::new_error(client_error(
             "model takes 1 to 128 printable characters without spaces"));
     return {};
 }
@@ -156,7 +158,7 @@
     if (stream && !stream->is_null())
     {
         if (!stream->is_bool())
-            return leaf::new_error(bad_call("stream takes true or false"));
+            return leaf::new_error(client_error("stream takes true or false"));
         into.stream = stream->get_bool();
     }
     const json::value* limit = body.if_contains("max_tokens");
@@ -167,8 +169,8 @@
     json::error_code error;
     const auto value = limit->to_number<std::int64_t>(error);
     const bool whole = limit->is_int64() || limit->is_uint64();
-    if (!whole || error || value < 1 || value > max_max_tokens)
-        return leaf::new_error(bad_call("max_tokens takes 1 to 1000000"));
+    if (!whole || error || value < 1 || value > max_tokens_limit)
+        return leaf::new_error(client_error("max_tokens takes 1 to 1000000"));
     into.max_tokens = static_cast<std::uint32_t>(value);
     return {};
 }
@@ -185,7 +187,7 @@
     const json::value parsed =
         json::parse({body.data(), body.size()}, error, &memory, options);
     if (error || !parsed.is_object())
-        return leaf::new_error(bad_call("the body isn't a JSON object"));
+        return leaf::new_error(client_error("the body isn't a JSON object"));
     const json::object& object = parsed.get_object();
     completion_body result;
     prompt_digest digest;
--- a/src/adapters/edge/edge_context.cpp
+++ b/src/adapters/edge/edge_context.cpp
@@ -10,7 +10,7 @@
 {
 
 /// The bijective mixing function of splitmix64.
-std::uint64_t mix(std::uint64_t value)
+std::uint64_t splitmix64(std::uint64_t value)
 {
     value += 0x9E3779B97F4A7C15ULL;
     value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
@@ -22,13 +22,14 @@
 
 std::string edge_context::next_request_id()
 {
-    const std::uint64_t number = ++this->ids_given;
+    const std::uint64_t number = ++this->last_request_number;
     std::array<char, 40> text{};
     const int size = std::snprintf(
         text.data(),
         text.size(),
         "%016llx%08llx",
-        static_cast<unsigned long long>(mix(this->options.id_seed)),
+        static_cast<unsigned long long>(
+            splitmix64(this->options.request_id_seed)),
         static_cast<unsigned long long>(number));
     return {text.data(), static_cast<std::size_t>(size)};
 }
--- a/src/adapters/edge/edge_context.hpp
+++ b/src/adapters/edge/edge_context.hpp
@@ -64,7 +64,7 @@
     std::string next_request_id();
 
 private:
-    std::atomic<std::uint64_t> ids_given{0};
+    std::atomic<std::uint64_t> last_request_number{0};
 };
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/edge_options.hpp
+++ b/src/adapters/edge/edge_options.hpp
@@ -33,21 +33,21 @@
     /// Replaces `connection_max_idle` for calls that are not repeatable. A
     /// lower limit makes it less likely that the server has closed the
     /// connection.
-    milliseconds proof_of_life{500};
+    milliseconds non_repeatable_max_idle{500};
     /// Time that sent data may stay unacknowledged before the connection fails.
-    milliseconds unacknowledged{5'000};
+    milliseconds tcp_user_timeout{5'000};
     milliseconds cancel_timeout{2'000};
     std::size_t max_idle_connections = 16; ///< per address and thread
     std::size_t max_answer_bytes = std::size_t(8) << 20; ///< when not streamed
-    std::size_t stream_buffer_bytes = std::size_t(64)
-                                      << 10; ///< per incomplete event
+    /// Maximum size of one event of a stream.
+    std::size_t stream_buffer_bytes = std::size_t(64) << 10;
 
     // Claims.
-    std::size_t max_kept_answer_bytes = std::size_t(2) << 10;
+    std::size_t max_stored_answer_bytes = std::size_t(2) << 10;
     milliseconds claim_retry_after{1'000};
 
-    std::uint64_t id_seed =
-        1; ///< random; prefix of the request ids of this run
+    /// Random; the prefix of this run's request ids is derived from it.
+    std::uint64_t request_id_seed = 1;
 };
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/engine_cancel.cpp
+++ b/src/adapters/edge/engine_cancel.cpp
@@ -31,24 +31,24 @@
 
 } // namespace
 
-asio::awaitable<cancel_end> cancel_on(
+asio::awaitable<cancel_result> cancel_run(
     backend_connection& connection,
     const std::string& request_id,
     std::chrono::steady_clock::duration limit)
 {
     const auto request = make_cancel(connection.address, request_id);
     connection.stream.expires_after(limit);
-    const auto [not_sent, sent] =
-        co_await http::async_write(connection.stream, request, quietly);
+    const auto [not_sent, sent] = co_await http::async_write(
+        connection.stream, request, use_awaitable_tuple);
     if (not_sent)
-        co_return cancel_end::unreachable;
+        co_return cancel_result::unreachable;
     http::response<http::string_body> answer;
     const auto [error, size] = co_await http::async_read(
-        connection.stream, connection.buffer, answer, quietly);
+        connection.stream, connection.buffer, answer, use_awaitable_tuple);
     if (error)
-        co_return cancel_end::unreachable;
-    const bool kept = answer.keep_alive() && connection.buffer.size() == 0;
-    co_return kept ? cancel_end::kept : cancel_end::answered;
+        co_return cancel_result::unreachable;
+    const bool reusable = answer.keep_alive() && connection.buffer.size() == 0;
+    co_return reusable ? cancel_result::reusable : cancel_result::answered;
 }
 
 asio::awaitable<void> send_cancel(
@@ -57,9 +57,9 @@
     edge_options options)
 {
     const bool open = co_await connect(
-        *connection, options.connect_timeout, options.unacknowledged);
+        *connection, options.connect_timeout, options.tcp_user_timeout);
     if (open)
-        co_await cancel_on(*connection, request_id, options.cancel_timeout);
+        co_await cancel_run(*connection, request_id, options.cancel_timeout);
 }
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/engine_cancel.hpp
+++ b/src/adapters/edge/engine_cancel.hpp
@@ -9,15 +9,15 @@
 {
 
 /// The result of a cancel request to an engine.
-enum class cancel_end : std::uint8_t
+enum class cancel_result : std::uint8_t
 {
     unreachable, ///< the request or its response failed
     answered,    ///< it responded; the connection is not reusable
-    kept         ///< it responded; the connection is reusable
+    reusable     ///< it responded; the connection is reusable
 };
 
 /// Tells an engine, on an open connection, to stop the run of a request.
-asio::awaitable<cancel_end> cancel_on(
+asio::awaitable<cancel_result> cancel_run(
     backend_connection& connection,
     const std::string& request_id,
     std::chrono::steady_clock::duration limit);
--- a/src/adapters/edge/head_scan.cpp
+++ b/src/adapters/edge/head_scan.cpp
@@ -19,29 +19,29 @@
 
 head_scan::status head_scan::feed(std::string_view head)
 {
-    while (this->known == status::need_more && this->position < head.size())
+    while (this->result == status::need_more && this->position < head.size())
     {
-        this->known = this->step(head[this->position]);
+        this->result = this->step(head[this->position]);
         ++this->position;
     }
-    return this->known;
+    return this->result;
 }
 
 head_scan::status head_scan::step(char byte)
 {
-    switch (this->now)
+    switch (this->state)
     {
-    case place::line_start:
+    case scan_state::line_start:
         return this->at_line_start(byte);
-    case place::in_line:
+    case scan_state::in_line:
         return this->in_line(byte);
-    case place::after_cr:
+    case scan_state::after_cr:
         if (byte != '\n')
             return this->fail("bare CR in the head");
-        this->now = place::line_start;
+        this->state = scan_state::line_start;
         this->first_line = false;
         return status::need_more;
-    case place::after_last_cr:
+    case scan_state::after_last_cr:
         if (byte != '\n')
             return this->fail("bare CR in the head");
         return status::complete;
@@ -55,12 +55,12 @@
         return this->fail("empty line before the request line");
     if (byte == '\r')
     {
-        this->now = place::after_last_cr;
+        this->state = scan_state::after_last_cr;
         return status::need_more;
     }
     if (byte == ' ' || byte == '\t')
         return this->fail("folded header line");
-    this->now = place::in_line;
+    this->state = scan_state::in_line;
     return this->in_line(byte);
 }
 
@@ -68,7 +68,7 @@
 {
     if (byte == '\r')
     {
-        this->now = place::after_cr;
+        this->state = scan_state::after_cr;
         return status::need_more;
     }
     if (byte == '\n')
@@ -80,7 +80,7 @@
 
 head_scan::status head_scan::fail(std::string_view fault)
 {
-    this->what = fault;
+    this->fault_text = fault;
     return status::malformed;
 }
 
--- a/src/adapters/edge/head_scan.hpp
+++ b/src/adapters/edge/head_scan.hpp
@@ -38,11 +38,11 @@
     /// @return Description of the error if the head is malformed.
     std::string_view fault() const
     {
-        return this->what;
+        return this->fault_text;
     }
 
 private:
-    enum class place : std::uint8_t
+    enum class scan_state : std::uint8_t
     {
         line_start,
         in_line,
@@ -56,10 +56,10 @@
     status fail(std::string_view fault);
 
     std::size_t position = 0;
-    place now = place::line_start;
+    scan_state state = scan_state::line_start;
     bool first_line = true;
-    status known = status::need_more;
-    std::string_view what;
+    status result = status::need_more;
+    std::string_view fault_text;
 };
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/net.hpp
+++ b/src/adapters/edge/net.hpp
@@ -20,11 +20,11 @@
 using tcp = asio::ip::tcp;
 
 /// Completion token: returns the error as a value instead of throwing.
-inline constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
+inline constexpr auto use_awaitable_tuple = asio::as_tuple(asio::use_awaitable);
 
 /// Opens an acceptor, binds it to an endpoint and starts to listen.
 inline boost::system::error_code
-listen_at(tcp::acceptor& acceptor, const tcp::endpoint& endpoint)
+open_listener(tcp::acceptor& acceptor, const tcp::endpoint& endpoint)
 {
     boost::system::error_code error;
     acceptor.open(endpoint.protocol(), error);
--- a/src/adapters/edge/prepared_call.cpp
+++ b/src/adapters/edge/prepared_call.cpp
@@ -16,12 +16,13 @@
 {
 
 /// The priority that the caller requests, capped at the highest it may use.
-priority asked_priority(const prepared_call& call, const routing_table* table)
+priority
+effective_priority(const prepared_call& call, const routing_table* table)
 {
     const caller_spec* const spec =
         table ? table->find_caller(call.headers.caller) : nullptr;
     const priority highest = spec ? spec->highest : caller_spec{}.highest;
-    return std::max(call.headers.asked.value_or(highest), highest);
+    return std::max(call.headers.requested_priority.value_or(highest), highest);
 }
 
 bool service_is_repeatable(
@@ -42,22 +43,22 @@
     // A service and a model may have the same name; the prefix separates them.
     const std::string target =
         (call.is_service() ? "service/" : "servable/") + call.info.target;
-    claim_request asked;
+    claim_request request;
     if (has_key)
-        asked.key = make_claim_key(
+        request.key = make_claim_key(
             call.headers.caller, target, call.headers.idempotency_key);
-    else if (call.id_from_caller)
-        asked.key = make_derived_claim_key(
+    else if (call.has_caller_request_id)
+        request.key = make_derived_claim_key(
             call.headers.caller, target, call.headers.request_id);
     else
         return;
-    asked.content = make_claim_content(
+    request.content = make_claim_content(
         boost::beast::http::to_string(call.method),
         call.target.path,
         call.body);
     if (has_key)
-        asked.issued = call.headers.key_issued;
-    call.claim = asked;
+        request.issued = call.headers.key_issued;
+    call.claim = request;
 }
 
 } // namespace
@@ -68,7 +69,7 @@
     request_info& info = call.info;
     info.is_service = call.is_service();
     info.caller = call.headers.caller;
-    info.asked = asked_priority(call, table);
+    info.asked = effective_priority(call, table);
     info.deadline = call.deadline;
     info.held_bytes = sizeof(prepared_call) + call.body.capacity();
     if (info.is_service)
--- a/src/adapters/edge/prepared_call.hpp
+++ b/src/adapters/edge/prepared_call.hpp
@@ -30,7 +30,7 @@
     std::string body;
     unsigned version = 11;
     bool keep_alive = true;
-    bool id_from_caller = false;
+    bool has_caller_request_id = false;
     bool stream = false;
     instant arrived;
     instant deadline;
@@ -38,15 +38,16 @@
     request_info info;
     std::optional<claim_request> claim; ///< must be granted before sending
     stream_position position;           ///< events the caller has received
-    bool patient = false;    ///< timed out once: use the longest limits
-    std::string run_left_at; ///< engine that may still run it; empty: none
+    bool use_longest_limits = false; ///< timed out once: use the longest limits
+    std::string
+        unfinished_run_address; ///< engine that may still run it; empty: none
 
     bool is_service() const
     {
         return this->target.kind == route_kind::service;
     }
 
-    request_profile work() const
+    request_profile profile() const
     {
         return {
             this->info.target,
--- a/src/adapters/edge/request_framing.cpp
+++ b/src/adapters/edge/request_framing.cpp
@@ -40,12 +40,13 @@
     if (count > 1 || !boost::beast::iequals(
                          fields[http::field::transfer_encoding], "chunked"))
         return leaf::new_error(
-            bad_call("Transfer-Encoding takes a single chunked"));
+            client_error("Transfer-Encoding takes a single chunked"));
     if (version != version_1_1)
-        return leaf::new_error(bad_call("Transfer-Encoding needs HTTP/1.1"));
+        return leaf::new_error(
+            client_error("Transfer-Encoding needs HTTP/1.1"));
     if (fields.count(http::field::content_length) != 0)
         return leaf::new_error(
-            bad_call("Content-Length together with Transfer-Encoding"));
+            client_error("Content-Length together with Transfer-Encoding"));
     return {};
 }
 
@@ -55,14 +56,15 @@
 {
     const auto lengths = fields.count(http::field::content_length);
     if (lengths > 1)
-        return leaf::new_error(bad_call("more than one Content-Length"));
+        return leaf::new_error(client_error("more than one Content-Length"));
     if (lengths == 1 && !is_length(fields[http::field::content_length]))
-        return leaf::new_error(bad_call("Content-Length takes digits only"));
+        return leaf::new_error(
+            client_error("Content-Length takes digits only"));
     const auto hosts = fields.count(http::field::host);
     if (hosts > 1)
-        return leaf::new_error(bad_call("more than one Host"));
+        return leaf::new_error(client_error("more than one Host"));
     if (hosts == 0 && version == version_1_1)
-        return leaf::new_error(bad_call("Host is missing"));
+        return leaf::new_error(client_error("Host is missing"));
     return check_transfer_encoding(fields, version);
 }
 
--- a/src/adapters/edge/request_target.cpp
+++ b/src/adapters/edge/request_target.cpp
@@ -1,7 +1,7 @@
 #include "adapters/edge/request_target.hpp"
 
 #include "adapters/edge/call_problem.hpp"
-#include "adapters/edge/text_rules.hpp"
+#include "adapters/edge/text_validation.hpp"
 
 #include <boost/leaf/error.hpp>
 #include <boost/url/parse.hpp>
@@ -19,7 +19,7 @@
 {
 
 constexpr std::string_view services_prefix = "/services/";
-constexpr std::size_t max_service_name = 64;
+constexpr std::size_t max_service_name_length = 64;
 
 struct fixed_route
 {
@@ -58,11 +58,11 @@
     const auto rest = target.substr(services_prefix.size());
     const auto end = std::min(rest.find_first_of("/?"), rest.size());
     const std::string_view name = rest.substr(0, end);
-    if (!is_name(name, max_service_name))
-        return leaf::new_error(bad_call("the service's name is malformed"));
+    if (!is_name(name, max_service_name_length))
+        return leaf::new_error(client_error("the service's name is malformed"));
     if (std::find(service_methods.begin(), service_methods.end(), method) ==
         service_methods.end())
-        return leaf::new_error(bad_call("the method isn't served", 405));
+        return leaf::new_error(client_error("the method isn't served", 405));
     std::string path(rest.substr(end));
     if (path.empty() || path.front() != '/')
         path.insert(path.begin(), '/');
@@ -76,13 +76,13 @@
 parse_request_target(std::string_view method, std::string_view target)
 {
     if (target.empty() || target.front() != '/')
-        return leaf::new_error(bad_call("the target isn't in origin form"));
+        return leaf::new_error(client_error("the target isn't in origin form"));
     const auto url =
         boost::urls::parse_origin_form({target.data(), target.size()});
     if (!url)
-        return leaf::new_error(bad_call("the target is malformed"));
+        return leaf::new_error(client_error("the target is malformed"));
     if (has_dot_segment(*url))
-        return leaf::new_error(bad_call("the target has a dot segment"));
+        return leaf::new_error(client_error("the target has a dot segment"));
     if (target.starts_with(services_prefix))
         return parse_service(method, target);
     const std::string_view path = target.substr(0, target.find('?'));
@@ -94,9 +94,10 @@
             return route.path == path;
         });
     if (found == fixed_routes.end())
-        return leaf::new_error(bad_call("there is nothing at this path", 404));
+        return leaf::new_error(
+            client_error("there is nothing at this path", 404));
     if (found->method != method)
-        return leaf::new_error(bad_call(
+        return leaf::new_error(client_error(
             "the path takes " + std::string(found->method) + " only", 405));
     return request_target{found->kind, {}, std::string(path)};
 }
--- a/src/adapters/edge/answer_header.cpp
+++ b/src/adapters/edge/response_builder.cpp
@@ -1,4 +1,4 @@
-#include "adapters/edge/answer_header.hpp"
+#include "adapters/edge/response_builder.hpp"
 
 #include <boost/beast/core/string.hpp>
 #include <boost/beast/http/rfc7230.hpp>
@@ -45,55 +45,56 @@
 }
 
 /// Whether the `Connection` header lists this header as hop-by-hop.
-bool is_named(const http::fields& from, beast::string_view name)
+bool is_listed_in_connection(const http::fields& from, beast::string_view name)
 {
     return http::token_list(from[http::field::connection]).exists(name);
 }
 
 } // namespace
 
-void stamp(http::fields& header, std::string_view request_id, verdict outcome)
+void set_router_headers(
+    http::fields& header, std::string_view request_id, verdict outcome)
 {
     header.set("X-Request-Id", view(request_id));
     header.set("X-Roseworks-Verdict", view(to_string(outcome)));
 }
 
-void copy_end_to_end(const http::fields& from, http::fields& to)
+void copy_end_to_end_headers(const http::fields& from, http::fields& to)
 {
     for (const auto& field : from)
     {
         const auto name = field.name_string();
-        if (!is_hop_by_hop(name) && !is_named(from, name))
+        if (!is_hop_by_hop(name) && !is_listed_in_connection(from, name))
             to.insert(name, field.value());
     }
 }
 
-whole_answer make_answer(
-    const answer_frame& frame,
+buffered_response make_response(
+    const response_context& context,
     unsigned status,
     std::string_view content_type,
     std::string body,
     verdict outcome)
 {
-    whole_answer answer;
+    buffered_response answer;
     answer.result(status);
-    answer.version(frame.version);
+    answer.version(context.version);
     answer.set(http::field::content_type, view(content_type));
-    stamp(answer, frame.request_id, outcome);
-    answer.keep_alive(frame.keep_alive);
+    set_router_headers(answer, context.request_id, outcome);
+    answer.keep_alive(context.keep_alive);
     answer.body() = std::move(body);
     answer.prepare_payload();
     return answer;
 }
 
-whole_answer
-make_refusal(const answer_frame& frame, const call_problem& problem)
+buffered_response make_problem_response(
+    const response_context& context, const call_problem& problem)
 {
-    return make_answer(
-        frame,
+    return make_response(
+        context,
         problem.status,
         "application/problem+json",
-        to_document(problem, frame.request_id),
+        to_problem_json(problem, context.request_id),
         problem.outcome);
 }
 
--- a/src/adapters/edge/server.cpp
+++ b/src/adapters/edge/server.cpp
@@ -19,10 +19,10 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds drain_poll{10};
-constexpr std::chrono::milliseconds accept_pause{50};
+constexpr std::chrono::milliseconds drain_poll_interval{10};
+constexpr std::chrono::milliseconds accept_retry_delay{50};
 /// Time for the explicit errors to be sent once the drain limit is reached.
-constexpr std::chrono::seconds last_words{1};
+constexpr std::chrono::seconds forced_end_time{1};
 
 } // namespace
 
@@ -48,9 +48,9 @@
     asio::awaitable<void>
     drain(duration limit, std::function<void(std::size_t)> done);
     asio::awaitable<void> wait_for_callers(duration limit);
-    void take_waiting();
+    void accept_backlog();
     traffic_thread& next_thread();
-    void on_each(void (traffic_thread::*action)());
+    void post_to_all(void (traffic_thread::*action)());
     void stop();
 
     std::shared_ptr<edge_context> context;
@@ -62,7 +62,7 @@
 
 beast::error_code server::impl::open(const tcp::endpoint& endpoint)
 {
-    beast::error_code error = listen_at(this->acceptor, endpoint);
+    beast::error_code error = open_listener(this->acceptor, endpoint);
     if (!error)
         this->bound = this->acceptor.local_endpoint(error);
     if (!error)
@@ -86,19 +86,19 @@
 asio::awaitable<void> server::impl::accept()
 {
     const auto self = this->shared_from_this();
-    asio::steady_timer pause(this->threads.front()->executor);
+    asio::steady_timer retry_timer(this->threads.front()->executor);
     while (this->acceptor.is_open())
     {
         traffic_thread& thread = this->next_thread();
-        auto [error, socket] =
-            co_await this->acceptor.async_accept(thread.executor, quietly);
+        auto [error, socket] = co_await this->acceptor.async_accept(
+            thread.executor, use_awaitable_tuple);
         if (error == asio::error::operation_aborted)
             co_return;
         if (error)
         {
             // Usually out of file descriptors: waits until some are closed.
-            pause.expires_after(accept_pause);
-            co_await pause.async_wait(quietly);
+            retry_timer.expires_after(accept_retry_delay);
+            co_await retry_timer.async_wait(use_awaitable_tuple);
             continue;
         }
         thread.serve(std::move(socket));
@@ -113,7 +113,7 @@
 
 /// Accepts the connections in the kernel's backlog. They would be reset when
 /// the acceptor is closed.
-void server::impl::take_waiting()
+void server::impl::accept_backlog()
 {
     beast::error_code error;
     while (!error)
@@ -130,19 +130,19 @@
 {
     const auto self = this->shared_from_this();
     this->context->draining = true;
-    this->take_waiting();
+    this->accept_backlog();
     beast::error_code ignored;
     this->acceptor.close(ignored);
     this->context->ports.dispatch.drain();
-    this->on_each(&traffic_thread::start_drain);
+    this->post_to_all(&traffic_thread::start_drain);
     co_await this->wait_for_callers(limit);
     const std::size_t unfinished = this->context->connections;
     if (unfinished != 0)
     {
-        this->on_each(&traffic_thread::force_end);
-        co_await this->wait_for_callers(last_words);
+        this->post_to_all(&traffic_thread::force_end);
+        co_await this->wait_for_callers(forced_end_time);
     }
-    this->on_each(&traffic_thread::stop);
+    this->post_to_all(&traffic_thread::stop);
     done(unfinished);
 }
 
@@ -152,12 +152,12 @@
     asio::steady_timer timer(this->threads.front()->executor);
     while (this->context->connections != 0 && this->context->now() < end)
     {
-        timer.expires_after(drain_poll);
-        co_await timer.async_wait(quietly);
+        timer.expires_after(drain_poll_interval);
+        co_await timer.async_wait(use_awaitable_tuple);
     }
 }
 
-void server::impl::on_each(void (traffic_thread::*action)())
+void server::impl::post_to_all(void (traffic_thread::*action)())
 {
     for (const auto& thread : this->threads)
         asio::post(
@@ -172,7 +172,7 @@
 {
     beast::error_code ignored;
     this->acceptor.close(ignored);
-    this->on_each(&traffic_thread::stop);
+    this->post_to_all(&traffic_thread::stop);
 }
 
 server::server(
--- a/src/adapters/edge/shared_dispatcher.cpp
+++ b/src/adapters/edge/shared_dispatcher.cpp
@@ -15,41 +15,41 @@
     dispatcher core,
     const asio::any_io_executor& executor,
     const clock_port& clock,
-    notices tell)
+    callbacks notify)
 {
     return std::shared_ptr<shared_dispatcher>(new shared_dispatcher(
-        std::move(core), executor, clock, std::move(tell)));
+        std::move(core), executor, clock, std::move(notify)));
 }
 
 shared_dispatcher::shared_dispatcher(
     dispatcher owned,
     const asio::any_io_executor& executor,
     const clock_port& time,
-    notices listener)
+    callbacks listener)
     : core(std::move(owned))
     , clock(time)
-    , tell(std::move(listener))
+    , notify(std::move(listener))
     , timer_executor(asio::make_strand(executor))
     , timer(this->timer_executor)
 {
 }
 
 template <class Step>
-void shared_dispatcher::locked(Step step)
+void shared_dispatcher::with_lock(Step step)
 {
-    handout what;
+    pending_output what;
     {
         const std::lock_guard lock(this->mutex);
         step(this->clock.now());
         what = this->collect();
     }
-    this->hand_out(what);
+    this->deliver(what);
 }
 
 ticket shared_dispatcher::submit(request_info info, reply_handler handler)
 {
     ticket request;
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             request = this->core.submit(std::move(info), time);
@@ -62,7 +62,7 @@
 shared_dispatcher::finished(ticket request, const attempt_result& result)
 {
     dispatcher::finish outcome;
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             outcome = this->core.finished(request, result, time);
@@ -74,7 +74,7 @@
 
 void shared_dispatcher::abandon(ticket request)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             // Without an entry the request was refused in the meantime, and
@@ -86,7 +86,7 @@
 
 void shared_dispatcher::drain()
 {
-    this->locked(
+    this->with_lock(
         [this](instant time)
         {
             this->core.drain(time);
@@ -95,7 +95,7 @@
 
 void shared_dispatcher::table_changed(routing_table_ptr table)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.table_changed(std::move(table), time);
@@ -104,7 +104,7 @@
 
 void shared_dispatcher::load_reported(const load_report& report)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.load_reported(report, time);
@@ -113,7 +113,7 @@
 
 void shared_dispatcher::routers_alive(std::size_t count)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.routers_alive(count, time);
@@ -122,7 +122,7 @@
 
 void shared_dispatcher::cache_reported(const cache_report& report)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.cache_reported(report, time);
@@ -131,7 +131,7 @@
 
 void shared_dispatcher::vm_leaving(std::string_view vm, bool leaving)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.vm_leaving(vm, leaving, time);
@@ -141,7 +141,7 @@
 void shared_dispatcher::crash_examined(
     const crash_seen& what, crash_finding finding)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.crash_examined(what, finding, time);
@@ -151,7 +151,7 @@
 void shared_dispatcher::server_limited(
     const server_place& server, double per_second)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.server_limited(server, per_second, time);
@@ -160,7 +160,7 @@
 
 void shared_dispatcher::permit_given(const server_place& server, duration wait)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.permit_given(server, time + wait, time);
@@ -170,7 +170,7 @@
 void shared_dispatcher::permit_refused(
     const server_place& server, duration retry_after)
 {
-    this->locked(
+    this->with_lock(
         [&](instant time)
         {
             this->core.permit_refused(server, retry_after, time);
@@ -207,27 +207,29 @@
         });
 }
 
-shared_dispatcher::handout shared_dispatcher::collect()
+shared_dispatcher::pending_output shared_dispatcher::collect()
 {
-    handout what;
+    pending_output what;
     for (const dispatch_command& command : this->core.take_commands())
         this->collect(what, command);
     const std::optional<instant> next = this->core.next_tick();
-    const bool sooner = next && (!this->armed || *next < *this->armed);
-    if (sooner && !this->stopped)
+    const bool is_earlier =
+        next && (!this->timer_due || *next < *this->timer_due);
+    if (is_earlier && !this->stopped)
     {
-        this->armed = next;
-        what.rearm = true;
+        this->timer_due = next;
+        what.restart_timer_needed = true;
     }
     return what;
 }
 
-void shared_dispatcher::collect(handout& into, const dispatch_command& command)
+void shared_dispatcher::collect(
+    pending_output& into, const dispatch_command& command)
 {
     if (const auto* start = std::get_if<grant>(&command))
         this->collect_reply(into, *start, start->request);
-    else if (const auto* no = std::get_if<refusal>(&command))
-        this->collect_reply(into, *no, no->request);
+    else if (const auto* refused = std::get_if<refusal>(&command))
+        this->collect_reply(into, *refused, refused->request);
     else if (const auto* wanted = std::get_if<demand>(&command))
         into.demands.push_back(*wanted);
     else if (const auto* crash = std::get_if<crash_seen>(&command))
@@ -237,7 +239,7 @@
 }
 
 void shared_dispatcher::collect_reply(
-    handout& into, const reply& answer, ticket request)
+    pending_output& into, const reply& answer, ticket request)
 {
     const auto waiter = this->waiters.find(request);
     if (waiter == this->waiters.end())
@@ -247,21 +249,21 @@
         this->waiters.erase(waiter);
 }
 
-void shared_dispatcher::hand_out(const handout& what)
+void shared_dispatcher::deliver(const pending_output& what)
 {
     for (const auto& [handler, answer] : what.replies)
         handler(answer);
     for (const demand& wanted : what.demands)
-        this->tell.on_demand(wanted);
+        this->notify.on_demand(wanted);
     for (const crash_seen& crash : what.crashes)
-        this->tell.on_crash(crash);
+        this->notify.on_crash(crash);
     for (const permit_wanted& permit : what.permits)
-        this->tell.on_permit_wanted(permit);
-    if (what.rearm)
-        this->arm();
+        this->notify.on_permit_wanted(permit);
+    if (what.restart_timer_needed)
+        this->schedule_timer_restart();
 }
 
-void shared_dispatcher::arm()
+void shared_dispatcher::schedule_timer_restart()
 {
     // `armed` is read on the strand of the timer, because two threads may post
     // in another order than they held the lock.
@@ -279,9 +281,9 @@
     duration wait{};
     {
         const std::lock_guard lock(this->mutex);
-        if (!this->armed || this->stopped)
+        if (!this->timer_due || this->stopped)
             return;
-        wait = *this->armed - this->clock.now();
+        wait = *this->timer_due - this->clock.now();
     }
     this->timer.expires_after(std::max(wait, duration::zero()));
     this->timer.async_wait(
@@ -295,10 +297,10 @@
 
 void shared_dispatcher::tick()
 {
-    this->locked(
+    this->with_lock(
         [this](instant time)
         {
-            this->armed.reset();
+            this->timer_due.reset();
             this->core.tick(time);
         });
 }
--- a/src/adapters/edge/shared_dispatcher.hpp
+++ b/src/adapters/edge/shared_dispatcher.hpp
@@ -32,7 +32,7 @@
 public:
     /// Callbacks that notify the control thread. Called from any thread; must
     /// not block.
-    struct notices
+    struct callbacks
     {
         std::function<void(const demand&)> on_demand;
         std::function<void(const crash_seen&)> on_crash;
@@ -42,12 +42,12 @@
     /// @param core     The dispatcher.
     /// @param executor Runs the timer.
     /// @param clock    The steady clock.
-    /// @param tell     Receives demand, crashes and permit requests.
+    /// @param notify   Receives demand, crashes and permit requests.
     static std::shared_ptr<shared_dispatcher> make(
         dispatcher core,
         const boost::asio::any_io_executor& executor,
         const clock_port& clock,
-        notices tell);
+        callbacks notify);
 
     ticket submit(request_info info, reply_handler handler) override;
     dispatcher::finish
@@ -76,40 +76,41 @@
 
 private:
     /// Replies and notifications to deliver after the lock is released.
-    struct handout
+    struct pending_output
     {
         std::vector<std::pair<reply_handler, reply>> replies;
         std::vector<demand> demands;
         std::vector<crash_seen> crashes;
         std::vector<permit_wanted> permits;
-        bool rearm = false;
+        bool restart_timer_needed = false;
     };
 
     shared_dispatcher(
         dispatcher owned,
         const boost::asio::any_io_executor& executor,
         const clock_port& time,
-        notices listener);
+        callbacks listener);
 
     /// Runs `step(now)` under the lock, then delivers the resulting output.
     template <class Step>
-    void locked(Step step);
-    handout collect();
-    void collect(handout& into, const dispatch_command& command);
-    void collect_reply(handout& into, const reply& answer, ticket request);
-    void hand_out(const handout& what);
-    void arm();
+    void with_lock(Step step);
+    pending_output collect();
+    void collect(pending_output& into, const dispatch_command& command);
+    void
+    collect_reply(pending_output& into, const reply& answer, ticket request);
+    void deliver(const pending_output& what);
+    void schedule_timer_restart();
     void restart_timer();
     void tick();
 
     mutable std::mutex mutex;
     dispatcher core;
     std::unordered_map<ticket, reply_handler> waiters;
-    std::optional<instant> armed;
+    std::optional<instant> timer_due;
     bool stopped = false;
 
     const clock_port& clock;
-    notices tell;
+    callbacks notify;
     boost::asio::any_io_executor timer_executor;
     boost::asio::steady_timer timer; ///< used on its executor only
 };
--- a/src/adapters/edge/sse_reader.cpp
+++ b/src/adapters/edge/sse_reader.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view data_field = "data:";
 constexpr std::string_view id_field = "id:";
-constexpr std::string_view done_mark = "[DONE]";
+constexpr std::string_view done_value = "[DONE]";
 
 /// @return The value of the field, without one leading space.
 std::string_view value_of(std::string_view line, std::string_view field)
@@ -27,22 +27,22 @@
 {
     for (const char byte : bytes)
     {
-        this->take(byte);
-        if (this->refused || this->event.size() > this->limit)
+        this->feed_byte(byte);
+        if (this->rejected || this->event.size() > this->limit)
             return false;
     }
     return true;
 }
 
-void sse_reader::take(char byte)
+void sse_reader::feed_byte(char byte)
 {
     const bool completes_cr = this->after_cr && byte == '\n';
     this->after_cr = byte == '\r';
     if (completes_cr)
     {
         // The LF of a CRLF belongs to the line that the CR has ended.
-        this->last->push_back(byte);
-        if (this->last == &this->event)
+        this->last_line_end->push_back(byte);
+        if (this->last_line_end == &this->event)
             this->line_start = this->event.size();
         return;
     }
@@ -56,7 +56,7 @@
         this->end_line();
     this->event.push_back(byte);
     this->line_start = this->event.size();
-    this->last = &this->event;
+    this->last_line_end = &this->event;
     if (blank)
         this->end_event();
 }
@@ -69,34 +69,36 @@
         this->id = value_of(line, id_field);
     if (!line.starts_with(data_field))
         return;
-    const bool says_done = value_of(line, data_field) == done_mark;
-    this->is_done = !this->has_data && says_done;
+    const bool says_done = value_of(line, data_field) == done_value;
+    this->is_done_event = !this->has_data && says_done;
     this->has_data = true;
 }
 
 void sse_reader::end_event()
 {
-    const bool late = !this->done.empty();
-    const bool counts = this->has_data && !this->is_done && !late;
-    if (counts && this->position && !this->position->accept(this->id))
+    const bool after_done = !this->done.empty();
+    const bool is_counted =
+        this->has_data && !this->is_done_event && !after_done;
+    if (is_counted && this->position && !this->position->accept(this->id))
     {
-        this->refused = true;
+        this->rejected = true;
         return;
     }
     this->id.clear();
-    std::string& target = this->is_done && !late ? this->done : this->ready;
-    if (!late)
+    std::string& target =
+        this->is_done_event && !after_done ? this->done : this->ready;
+    if (!after_done)
     {
         target.append(this->event);
-        this->data_events += counts ? 1 : 0;
+        this->data_events += is_counted ? 1 : 0;
     }
     this->event.clear();
     this->line_start = 0;
     this->has_data = false;
-    this->is_done = false;
+    this->is_done_event = false;
     // Everything after [DONE] is discarded, including the LF of a CRLF that
     // ends a discarded event.
-    this->last = late ? &this->event : &target;
+    this->last_line_end = after_done ? &this->event : &target;
 }
 
 void sse_reader::finish()
--- a/src/adapters/edge/sse_reader.hpp
+++ b/src/adapters/edge/sse_reader.hpp
@@ -61,22 +61,22 @@
     }
 
 private:
-    void take(char byte);
+    void feed_byte(char byte);
     void end_line();
     void end_event();
 
     std::size_t limit;
     stream_position* position;
     std::string id; ///< id of the incomplete event
-    bool refused = false;
+    bool rejected = false;
     std::string ready;
     std::string event; ///< the incomplete event
     std::string done;
     std::size_t line_start = 0;
     bool has_data = false;
-    bool is_done = false;
+    bool is_done_event = false;
     bool after_cr = false;
-    std::string* last =
+    std::string* last_line_end =
         &this->event; ///< buffer that received the last line end
     std::uint32_t data_events = 0;
 };
--- a/src/adapters/edge/stream_answer.cpp
+++ b/src/adapters/edge/stream_response.cpp
@@ -1,4 +1,4 @@
-#include "adapters/edge/stream_answer.hpp"
+#include "adapters/edge/stream_response.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
@@ -20,46 +20,48 @@
 
 } // namespace
 
-stream_answer::stream_answer(
-    caller_connection& connection, answer_frame about, traffic_observer& counts)
+stream_response::stream_response(
+    caller_connection& connection,
+    response_context about,
+    traffic_observer& counts)
     : caller(connection)
-    , frame(std::move(about))
+    , context(std::move(about))
     , observer(counts)
 {
 }
 
-stream_answer::~stream_answer()
+stream_response::~stream_response()
 {
-    if (this->has_begun)
+    if (this->has_started)
         this->observer.stream_closed();
 }
 
-bool stream_answer::chunked() const
+bool stream_response::chunked() const
 {
-    return this->frame.version == version_1_1;
+    return this->context.version == version_1_1;
 }
 
 asio::awaitable<bool>
-stream_answer::begin(unsigned status, const http::fields& headers)
+stream_response::begin(unsigned status, const http::fields& headers)
 {
-    this->has_begun = true;
+    this->has_started = true;
     this->sent_status = status;
     this->observer.stream_opened();
     http::response<http::empty_body> answer;
     answer.result(status);
-    answer.version(this->frame.version);
-    copy_end_to_end(headers, answer);
-    stamp(answer, this->frame.request_id, verdict::answered);
-    answer.keep_alive(this->frame.keep_alive);
+    answer.version(this->context.version);
+    copy_end_to_end_headers(headers, answer);
+    set_router_headers(answer, this->context.request_id, verdict::answered);
+    answer.keep_alive(this->context.keep_alive);
     answer.chunked(this->chunked());
     http::response_serializer<http::empty_body> serializer(answer);
     this->caller.expire_write();
     const auto [error, size] = co_await http::async_write_header(
-        this->caller.stream, serializer, quietly);
+        this->caller.stream, serializer, use_awaitable_tuple);
     co_return !error;
 }
 
-asio::awaitable<bool> stream_answer::write(std::string_view bytes)
+asio::awaitable<bool> stream_response::write(std::string_view bytes)
 {
     if (bytes.empty())
         co_return true;
@@ -72,12 +74,12 @@
     this->caller.expire_write();
     const asio::const_buffer data(bytes.data(), bytes.size());
     const auto chunk = http::make_chunk(data);
-    const auto [error, size] =
-        co_await asio::async_write(this->caller.stream, chunk, quietly);
+    const auto [error, size] = co_await asio::async_write(
+        this->caller.stream, chunk, use_awaitable_tuple);
     co_return !error;
 }
 
-asio::awaitable<bool> stream_answer::finish()
+asio::awaitable<bool> stream_response::finish()
 {
     if (!this->chunked())
         co_return true;
@@ -85,10 +87,10 @@
     co_return sent;
 }
 
-asio::awaitable<void> stream_answer::cut(const call_problem& problem)
+asio::awaitable<void> stream_response::cut(const call_problem& problem)
 {
     std::string event = "event: error\ndata: ";
-    event += to_document(problem, this->frame.request_id);
+    event += to_problem_json(problem, this->context.request_id);
     event += "\n\n";
     const bool sent = co_await this->write(event);
     if (sent)
--- a/src/adapters/edge/stream_answer.hpp
+++ b/src/adapters/edge/stream_response.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "adapters/edge/answer_header.hpp"
 #include "adapters/edge/caller_connection.hpp"
+#include "adapters/edge/response_builder.hpp"
 #include "adapters/edge/traffic_observer.hpp"
 
 #include <cstdint>
@@ -18,17 +18,17 @@
     verdict, and it has no `[DONE]`. For HTTP/1.0 the body is delimited by the
     end of the connection.
 */
-class stream_answer
+class stream_response
 {
 public:
-    stream_answer(
+    stream_response(
         caller_connection& connection,
-        answer_frame about,
+        response_context about,
         traffic_observer& counts);
-    ~stream_answer();
+    ~stream_response();
 
-    stream_answer(const stream_answer&) = delete;
-    stream_answer& operator=(const stream_answer&) = delete;
+    stream_response(const stream_response&) = delete;
+    stream_response& operator=(const stream_response&) = delete;
 
     /// Sends the header.
     /// @param status  Status of the backend server's response.
@@ -47,7 +47,7 @@
 
     bool started() const
     {
-        return this->has_begun;
+        return this->has_started;
     }
 
     unsigned status() const
@@ -64,9 +64,9 @@
     bool chunked() const;
 
     caller_connection& caller;
-    answer_frame frame;
+    response_context context;
     traffic_observer& observer;
-    bool has_begun = false;
+    bool has_started = false;
     unsigned sent_status = 0;
     std::uint64_t sent_bytes = 0;
 };
--- a/src/adapters/edge/traffic_observer.hpp
+++ b/src/adapters/edge/traffic_observer.hpp
@@ -15,9 +15,9 @@
 struct finished_request
 {
     route_kind kind = route_kind::healthz;
-    priority asked = priority::normal;
-    bool understood = true; ///< false: malformed, `kind` is not meaningful
-    unsigned status = 0;    ///< 0: the caller left before the response began
+    priority requested_priority = priority::normal;
+    bool parsed = true;  ///< false: malformed, `kind` is not meaningful
+    unsigned status = 0; ///< 0: the caller left before the response began
     verdict outcome = verdict::answered;
     refusal_reason reason = refusal_reason::none;
     duration queue_wait{}; ///< until the first grant
--- a/src/adapters/edge/traffic_thread.cpp
+++ b/src/adapters/edge/traffic_thread.cpp
@@ -89,7 +89,7 @@
     try
     {
         if (count->over_limit())
-            co_await session.turn_away();
+            co_await session.reject_over_limit();
         else
             co_await session.run();
     }
@@ -126,7 +126,7 @@
     while (!this->stopped)
     {
         this->sweep_timer.expires_after(sweep_interval);
-        co_await this->sweep_timer.async_wait(quietly);
+        co_await this->sweep_timer.async_wait(use_awaitable_tuple);
         this->pool.sweep();
     }
 }
--- a/src/adapters/forward/forward_call.cpp
+++ b/src/adapters/forward/forward_call.cpp
@@ -39,7 +39,7 @@
 watch(edge::caller_connection& caller, std::shared_ptr<edge::call_inbox> inbox)
 {
     const auto [error] = co_await caller.stream.socket().async_wait(
-        edge::tcp::socket::wait_read, edge::quietly);
+        edge::tcp::socket::wait_read, edge::use_awaitable_tuple);
     if (error || inbox->finished())
         co_return;
     if (caller.peer_closed())
@@ -155,7 +155,7 @@
     beast::error_code ignored;
     this->caller.stream.socket().cancel(ignored);
     this->report();
-    co_return this->connection_usable && !this->inbox->left() &&
+    co_return this->connection_usable && !this->inbox->caller_has_left() &&
         this->request.keep_alive && !this->context.draining;
 }
 
@@ -189,7 +189,7 @@
 {
     this->connection_usable = false;
     this->end = request_end::caller_left;
-    if (!this->inbox->left())
+    if (!this->inbox->caller_has_left())
         co_await this->answer_own(make_own_answer(
             refusal_reason::draining,
             this->may_have_run ? verdict::may_have_run : verdict::not_run));
@@ -310,7 +310,7 @@
     this->context.ports.run_refused(servable, instance);
     asio::steady_timer pause(this->pool.executor);
     pause.expires_after(this->context.settings.refused_pause);
-    co_await pause.async_wait(edge::quietly);
+    co_await pause.async_wait(edge::use_awaitable_tuple);
 }
 
 unsigned forward_call::engine_rank() const
@@ -360,7 +360,7 @@
     const duration longest_idle =
         this->route.repeatable()
             ? duration(this->context.options.connection_max_idle)
-            : duration(this->context.options.proof_of_life);
+            : duration(this->context.options.non_repeatable_max_idle);
     exchange_state state = co_await exchange.send(
         where.address, bytes, longest_idle, this->deadline);
     this->sends += exchange.sent() ? 1 : 0;
--- a/src/adapters/forward/forward_server.cpp
+++ b/src/adapters/forward/forward_server.cpp
@@ -42,7 +42,7 @@
 
 beast::error_code forward_server::listen(const edge::tcp::endpoint& endpoint)
 {
-    beast::error_code error = edge::listen_at(this->acceptor, endpoint);
+    beast::error_code error = edge::open_listener(this->acceptor, endpoint);
     if (!error)
         this->bound = this->acceptor.local_endpoint(error);
     if (error)
@@ -66,13 +66,13 @@
     while (this->acceptor.is_open())
     {
         auto [error, socket] =
-            co_await this->acceptor.async_accept(edge::quietly);
+            co_await this->acceptor.async_accept(edge::use_awaitable_tuple);
         if (error == asio::error::operation_aborted)
             co_return;
         if (error)
         {
             pause.expires_after(accept_pause);
-            co_await pause.async_wait(edge::quietly);
+            co_await pause.async_wait(edge::use_awaitable_tuple);
             continue;
         }
         asio::co_spawn(
@@ -107,7 +107,7 @@
     while (!this->stopped)
     {
         this->sweep_timer.expires_after(sweep_interval);
-        co_await this->sweep_timer.async_wait(edge::quietly);
+        co_await this->sweep_timer.async_wait(edge::use_awaitable_tuple);
         this->pool.sweep();
     }
 }
--- a/src/adapters/forward/probe_server.cpp
+++ b/src/adapters/forward/probe_server.cpp
@@ -43,7 +43,8 @@
 
 beast::error_code probe_server::listen(const edge::tcp::endpoint& endpoint)
 {
-    const beast::error_code error = edge::listen_at(this->acceptor, endpoint);
+    const beast::error_code error =
+        edge::open_listener(this->acceptor, endpoint);
     if (!error)
         asio::co_spawn(this->executor, this->accept(), asio::detached);
     return error;
@@ -54,7 +55,7 @@
     while (this->acceptor.is_open())
     {
         auto [error, socket] =
-            co_await this->acceptor.async_accept(edge::quietly);
+            co_await this->acceptor.async_accept(edge::use_awaitable_tuple);
         if (error == asio::error::operation_aborted)
             co_return;
         if (!error)
--- a/src/adapters/forward/quota_gate.cpp
+++ b/src/adapters/forward/quota_gate.cpp
@@ -61,13 +61,13 @@
                 });
         });
     while (!open->decision && !inbox.interrupted())
-        co_await open->timer.async_wait(edge::quietly);
+        co_await open->timer.async_wait(edge::use_awaitable_tuple);
     const bool has_to_wait = open->decision && open->decision->is_allowed &&
                              open->decision->wait > duration::zero();
     if (has_to_wait && !inbox.interrupted())
     {
         open->timer.expires_after(open->decision->wait);
-        co_await open->timer.async_wait(edge::quietly);
+        co_await open->timer.async_wait(edge::use_awaitable_tuple);
     }
     inbox.on_interrupt = nullptr;
     if (!inbox.interrupted())
--- a/src/adapters/forward/server_exchange.cpp
+++ b/src/adapters/forward/server_exchange.cpp
@@ -70,7 +70,7 @@
 
 asio::awaitable<exchange_state> server_exchange::open(duration longest_idle)
 {
-    this->connection = this->pool.take(this->where, longest_idle);
+    this->connection = this->pool.acquire(this->where, longest_idle);
     if (this->connection)
         co_return exchange_state::good;
     this->connection = this->pool.make(this->where);
@@ -79,7 +79,7 @@
     const bool opened = co_await edge::connect(
         *this->connection,
         std::clamp(left, duration(1), most),
-        this->context.options.unacknowledged);
+        this->context.options.tcp_user_timeout);
     if (this->inbox.interrupted())
         co_return exchange_state::interrupted;
     co_return opened ? exchange_state::good : exchange_state::not_sent;
@@ -91,7 +91,7 @@
     const auto [error, size] = co_await asio::async_write(
         this->connection->stream,
         asio::buffer(bytes.data(), bytes.size()),
-        edge::quietly);
+        edge::use_awaitable_tuple);
     this->was_sent = this->was_sent || size != 0;
     if (!error)
         co_return exchange_state::good;
@@ -114,7 +114,7 @@
         const std::string_view echoed = view(this->head()[names.request_id]);
         if (echoed.empty() || echoed == id)
         {
-            this->pool.answered(*this->connection);
+            this->pool.record_response(*this->connection);
             co_return exchange_state::good;
         }
         this->crossed = true;
@@ -133,7 +133,8 @@
 asio::awaitable<exchange_state> server_exchange::read_one_head(bool head_only)
 {
     this->parser.emplace();
-    this->parser->header_limit(static_cast<std::uint32_t>(edge::max_buffered));
+    this->parser->header_limit(
+        static_cast<std::uint32_t>(edge::max_read_ahead_bytes));
     this->parser->body_limit(boost::none);
     this->parser->skip(head_only);
     this->limit();
@@ -141,7 +142,7 @@
         this->connection->stream,
         this->connection->buffer,
         *this->parser,
-        edge::quietly);
+        edge::use_awaitable_tuple);
     if (error)
         co_return this->failed(error);
     this->until_closed = this->parser->need_eof();
@@ -163,7 +164,7 @@
             this->connection->stream,
             this->connection->buffer,
             *this->parser,
-            edge::quietly);
+            edge::use_awaitable_tuple);
         const std::size_t got = this->buffer.size() - body.size;
         if (error && error != http::error::need_buffer)
             co_return this->failed(error);
@@ -182,7 +183,7 @@
     if (!reusable || !this->connection)
         return;
     this->connection->stream.expires_never();
-    this->pool.put(std::move(this->connection));
+    this->pool.add_idle(std::move(this->connection));
 }
 
 exchange_state server_exchange::failed(beast::error_code error) const
--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -66,7 +66,7 @@
     edge::edge_options made;
     made.connect_timeout = connect_limit;
     made.connection_max_idle = backend_idle;
-    made.proof_of_life = fresh_enough;
+    made.non_repeatable_max_idle = fresh_enough;
     made.max_idle_connections = 8;
     made.connection_max_age = milliseconds(300'000);
     return made;
--- a/src/app/graph_options.cpp
+++ b/src/app/graph_options.cpp
@@ -213,7 +213,7 @@
     result.max_idle_connections =
         traffic.backend_connections_max_idle / from.router.traffic_threads;
     result.stream_buffer_bytes = traffic.stream_buffer_bytes;
-    result.id_seed = seeds.seed;
+    result.request_id_seed = seeds.seed;
     return result;
 }
 
--- a/src/app/traffic_metrics.cpp
+++ b/src/app/traffic_metrics.cpp
@@ -64,18 +64,18 @@
 {
     if (!is_work(request.kind))
         return;
-    this->requests.increment(request.asked, end_of(request));
+    this->requests.increment(request.requested_priority, end_of(request));
     if (request.reason != refusal_reason::none)
         this->refusals.increment(request.reason);
     if (request.attempts > 1)
         this->retries.add(request.attempts - 1);
     this->tokens.add(request.tokens);
-    this->total.record(request.total, request.asked);
+    this->total.record(request.total, request.requested_priority);
     if (request.attempts == 0)
         return;
-    this->queue_wait.record(request.queue_wait, request.asked);
+    this->queue_wait.record(request.queue_wait, request.requested_priority);
     if (request.first_byte > duration::zero())
-        this->first_byte.record(request.first_byte, request.asked);
+        this->first_byte.record(request.first_byte, request.requested_priority);
 }
 
 void traffic_metrics::stream_opened()
--- a/tests/unit/edge/edge_fixture.cpp
+++ b/tests/unit/edge/edge_fixture.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 
-constexpr std::chrono::seconds generous{20};
+constexpr std::chrono::seconds poll_timeout{20};
 
-bool may_try_again(const request_info& info, const attempt_result& result)
+bool may_retry(const request_info& info, const attempt_result& result)
 {
     using end = attempt_result::end;
     const bool untouched =
@@ -37,13 +37,13 @@
     const ticket request(++this->last);
     entry& added = this->entries[request];
     added = {std::move(info), std::move(handler)};
-    if (this->granting)
-        this->give(request, added);
+    if (this->grants_enabled)
+        this->send_grant(request, added);
     ++this->submitted;
     return request;
 }
 
-void fake_dispatch::give(ticket request, entry& what)
+void fake_dispatch::send_grant(ticket request, entry& what)
 {
     grant given;
     given.request = request;
@@ -63,9 +63,9 @@
     if (result.how == attempt_result::end::answered ||
         result.how == attempt_result::end::caller_left)
         return {};
-    if (may_try_again(known.info, result) && known.attempts < max_attempts)
+    if (may_retry(known.info, result) && known.attempts < max_attempts)
     {
-        this->give(request, known);
+        this->send_grant(request, known);
         return {false, verdict::not_run, refusal_reason::none};
     }
     using end = attempt_result::end;
@@ -143,12 +143,15 @@
     return answer;
 }
 
-std::string test_caller::read_until(std::string_view mark)
+std::string test_caller::read_until(std::string_view delimiter)
 {
     std::string text;
     boost::system::error_code ignored;
     asio::read_until(
-        this->socket, asio::dynamic_buffer(text), std::string(mark), ignored);
+        this->socket,
+        asio::dynamic_buffer(text),
+        std::string(delimiter),
+        ignored);
     return text;
 }
 
@@ -168,7 +171,7 @@
         this->guards.emplace_back(this->loops.back()->get_executor());
         executors.emplace_back(this->loops.back()->get_executor());
     }
-    edge_dependencies needs{
+    edge_dependencies dependencies{
         this->dispatch,
         this->claims,
         this->introspection,
@@ -181,7 +184,7 @@
         },
         std::move(certificate)};
     this->edge = std::make_unique<server>(
-        options, std::move(needs), std::move(executors));
+        options, std::move(dependencies), std::move(executors));
 }
 
 edge_fixture::~edge_fixture()
@@ -230,7 +233,7 @@
 
 bool eventually(const std::function<bool()>& condition)
 {
-    const auto end = std::chrono::steady_clock::now() + generous;
+    const auto end = std::chrono::steady_clock::now() + poll_timeout;
     while (!condition())
     {
         if (std::chrono::steady_clock::now() > end)
--- a/tests/unit/edge/edge_fixture.hpp
+++ b/tests/unit/edge/edge_fixture.hpp
@@ -23,8 +23,8 @@
 namespace roseworks::edge::tests
 {
 
-/// Grants every request at once, at one address; tries again as the real
-/// dispatcher does, until three attempts are made.
+/// A dispatcher that grants every request at once for one address. It retries
+/// as the real dispatcher does, up to three attempts.
 class fake_dispatch : public dispatch_port
 {
 public:
@@ -37,7 +37,7 @@
     std::vector<attempt_result> results() const;
 
     std::string address;
-    std::atomic<bool> granting{true};
+    std::atomic<bool> grants_enabled{true};
     std::atomic<int> submitted{0};
     std::atomic<int> abandoned{0};
     std::atomic<bool> drained{false};
@@ -50,7 +50,7 @@
         std::uint32_t attempts = 0;
     };
 
-    void give(ticket request, entry& what);
+    void send_grant(ticket request, entry& what);
 
     mutable std::mutex mutex;
     std::map<ticket, entry> entries;
@@ -58,7 +58,7 @@
     std::uint64_t last = 0;
 };
 
-/// Gives every claim the same result and keeps what was closed.
+/// Returns the same result for every claim and records the closed claims.
 class fake_claims : public claim_port
 {
 public:
@@ -141,17 +141,17 @@
 using http_answer =
     boost::beast::http::response<boost::beast::http::string_body>;
 
-/// A caller with a blocking socket.
+/// An HTTP client with a blocking socket.
 class test_caller
 {
 public:
     explicit test_caller(std::uint16_t port);
 
     void send(std::string_view text);
-    /// @return The next answer; empty when the connection ends before it.
+    /// @return The next response; empty if the connection ends before it.
     std::optional<http_answer> read();
-    /// @return All bytes up to and with `mark`, or up to the end.
-    std::string read_until(std::string_view mark);
+    /// @return All bytes up to and including `delimiter`, or up to the end.
+    std::string read_until(std::string_view delimiter);
     void close();
 
 private:
@@ -164,7 +164,8 @@
 class edge_fixture
 {
 public:
-    /// @param certificate Gives the callers' certificate; empty: plain HTTP.
+    /// @param certificate Returns the TLS context for callers; empty: plain
+    ///                    HTTP.
     explicit edge_fixture(
         edge_options options = {},
         std::function<tls::context_ptr()> certificate = {});
@@ -172,7 +173,7 @@
 
     std::uint16_t start();
     test_caller caller();
-    /// @return The answer to one request on a connection of its own.
+    /// @return The response to one request on a separate connection.
     http_answer call(std::string_view text);
 
     fake_dispatch dispatch;
@@ -194,14 +195,14 @@
 };
 
 /// Polls until the condition holds.
-/// @return False when it doesn't within a generous limit.
+/// @return False if it does not hold within 20 s.
 bool eventually(const std::function<bool()>& condition);
 
-/// @return A completion request's text.
+/// @return The text of a completion request.
 std::string
 completion(std::string_view extra_headers = {}, bool stream = false);
 
-/// @return A service request's text.
+/// @return The text of a service request.
 std::string service_call(std::string_view extra_headers = {});
 
 } // namespace roseworks::edge::tests
--- a/tests/unit/edge/fake_backend.cpp
+++ b/tests/unit/edge/fake_backend.cpp
@@ -120,10 +120,10 @@
 fake_backend::~fake_backend()
 {
     this->closing = true;
-    // Wakes the blocking accept.
-    tcp::socket knock(this->context);
+    // Unblocks the accept call.
+    tcp::socket wake_up(this->context);
     boost::system::error_code ignored;
-    knock.connect(this->acceptor.local_endpoint(), ignored);
+    wake_up.connect(this->acceptor.local_endpoint(), ignored);
     this->accepting.join();
     for (const auto& peer : this->peers)
         peer->shut_down();
--- a/tests/unit/edge/fake_backend.hpp
+++ b/tests/unit/edge/fake_backend.hpp
@@ -14,7 +14,7 @@
 namespace roseworks::edge::tests
 {
 
-/// One connection that a fake backend server has accepted.
+/// A connection that a fake backend server has accepted.
 class backend_peer
 {
 public:
@@ -24,20 +24,20 @@
     {
     }
 
-    /// @return The next request, head and body; empty at the end.
+    /// @return The next request with head and body; empty at the end.
     std::string read_request();
 
-    /// Sends bytes as they are.
+    /// Sends bytes without any framing.
     void send(std::string_view bytes);
 
-    /// Sends a whole JSON answer that echoes the request's id.
+    /// Sends a complete JSON response that echoes the request id.
     void answer(
         const std::string& request,
         std::string_view body,
         unsigned status = 200);
 
-    /// Starts a chunked event stream that echoes the request's id.
-    /// @param extra further header lines, each with its line end.
+    /// Starts a chunked event stream that echoes the request id.
+    /// @param extra Further header lines, each with its line end.
     void start_stream(const std::string& request, std::string_view extra = {});
     void send_chunk(std::string_view bytes);
 
@@ -82,7 +82,7 @@
     std::thread accepting;
 };
 
-/// @return A header's value in a request's text, empty when it is missing.
+/// @return The value of a header in the text of a request, empty if missing.
 std::string header_of(const std::string& request, const std::string& name);
 
 } // namespace roseworks::edge::tests
--- a/tests/unit/edge/test_connections.cpp
+++ b/tests/unit/edge/test_connections.cpp
@@ -67,7 +67,7 @@
     cr_assert_eq(fixture.dispatch.submitted, 0);
 }
 
-Test(connections, limits_are_kept)
+Test(connections, size_limits_are_enforced)
 {
     edge_options options;
     options.max_header_bytes = 1024;
@@ -91,7 +91,7 @@
     cr_assert_eq(fixture.dispatch.submitted, 0);
 }
 
-Test(connections, malformed_headers_name_the_header)
+Test(connections, error_names_the_malformed_header)
 {
     edge_fixture fixture;
     fixture.start();
@@ -144,7 +144,7 @@
     cr_assert_eq(caller.read()->result_int(), 400);
 }
 
-Test(connections, too_many_are_turned_away)
+Test(connections, connections_over_the_limit_are_rejected)
 {
     edge_options options;
     options.max_connections = 1;
@@ -208,7 +208,7 @@
         }));
 }
 
-Test(drain, limit_ends_the_rest_with_an_error)
+Test(drain, limit_ends_running_requests_with_an_error)
 {
     fake_backend backend(
         [](backend_peer& peer)
--- a/tests/unit/edge/test_parsers.cpp
+++ b/tests/unit/edge/test_parsers.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-/// @return The status of the problem, 0 when there is none.
+/// @return The status of the problem, 0 if there is none.
 template <class Parse>
 unsigned status_of(Parse parse)
 {
@@ -135,7 +135,7 @@
     cr_assert(headers.request_id.empty());
     cr_assert(headers.caller == "anonymous");
     cr_assert(headers.idempotency_key.empty());
-    cr_assert(!headers.asked.has_value());
+    cr_assert(!headers.requested_priority.has_value());
     cr_assert_eq(headers.deadline.count(), 1000);
 }
 
@@ -167,7 +167,7 @@
     cr_assert_eq(header_status("Idempotency-Key", "a\x80"), 400);
 }
 
-Test(call_headers, each_comes_once)
+Test(call_headers, repeated_header_is_rejected)
 {
     http::fields fields;
     fields.insert("X-Caller", "a");
@@ -250,7 +250,7 @@
     cr_assert(scan("GET / HTTP/1.1\r\n\rx") == status::malformed);
 }
 
-Test(call_identity, parts_can_not_run_into_each_other)
+Test(call_identity, inputs_are_delimited)
 {
     cr_assert(make_claim_key("a", "bc", "k") != make_claim_key("ab", "c", "k"));
     cr_assert(
--- a/tests/unit/edge/test_resumed_streams.cpp
+++ b/tests/unit/edge/test_resumed_streams.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view tag = "ETag: \"g1\"\r\n";
 
-bool has(const std::string& text, std::string_view part)
+bool contains(const std::string& text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -29,8 +29,9 @@
     return event(0) + event(1) + event(2) + "data: [DONE]\n\n";
 }
 
-/// For servers that fall silent; above a busy machine's pauses.
-edge_options impatient()
+/// Timeouts for tests with a silent server. 1 s exceeds the scheduling delays
+/// of a busy machine.
+edge_options short_timeouts()
 {
     edge_options options;
     options.first_byte_timeout = std::chrono::milliseconds(1000);
@@ -38,12 +39,12 @@
     return options;
 }
 
-/// Takes the cancel of the run before.
-/// @return The request that follows on the same connection.
-std::string after_cancel(backend_peer& peer)
+/// Reads and answers the cancel of the earlier run.
+/// @return The next request on the same connection.
+std::string request_after_cancel(backend_peer& peer)
 {
     const std::string cancel = peer.read_request();
-    cr_expect(has(cancel, "/v1/engine/cancel"), "%s", cancel.c_str());
+    cr_expect(contains(cancel, "/v1/engine/cancel"), "%s", cancel.c_str());
     peer.answer(cancel, "{}");
     return peer.read_request();
 }
@@ -55,8 +56,9 @@
     peer.send_chunk(event(1) + "id: 2\nda");
 }
 
-/// Runs one stream against a backend server.
-std::string body_of(
+/// Requests one stream from a backend server.
+/// @return The body that the caller receives.
+std::string streamed_body(
     fake_backend& backend,
     std::string_view headers = {},
     const edge_options& options = {})
@@ -68,8 +70,10 @@
     return fixture.call(completion(headers, true)).body();
 }
 
-/// The first run is cut after two events; the second connection gets `rest`.
-std::string cut_and_joined(std::string_view head, const std::string& rest)
+/// Cuts the first run after two events; a second run on another connection
+/// continues it with `rest`.
+/// @return The body that the caller receives.
+std::string body_after_cut(std::string_view head, const std::string& rest)
 {
     fake_backend backend(
         [&](backend_peer& peer)
@@ -80,18 +84,18 @@
                 return;
             }
             if (peer.number > 1)
-                return; // the cancel after the call's end
-            peer.start_stream(after_cancel(peer), head);
+                return; // the cancel after the end of the call
+            peer.start_stream(request_after_cancel(peer), head);
             peer.send_chunk(rest);
             peer.send("0\r\n\r\n");
             peer.wait_for_close();
         });
-    return body_of(backend);
+    return streamed_body(backend);
 }
 
 } // namespace
 
-Test(resumed_streams, cut_stream_is_whole_byte_for_byte)
+Test(resumed_streams, resumed_stream_equals_an_uninterrupted_one)
 {
     std::string again;
     fake_backend backend(
@@ -102,19 +106,19 @@
                 send_first_two(peer, peer.read_request());
                 return;
             }
-            again = after_cancel(peer);
+            again = request_after_cancel(peer);
             peer.start_stream(again, tag);
             peer.send_chunk(event(2) + "data: [DONE]\n\n");
             peer.send("0\r\n\r\n");
         });
-    const std::string body = body_of(backend);
+    const std::string body = streamed_body(backend);
     cr_assert(body == whole_stream(), "%s", body.c_str());
     cr_assert(header_of(again, "Last-Event-Id") == "1");
     cr_assert(header_of(again, "If-Match") == "\"g1\"");
-    cr_assert(has(again, R"("prompt":"p")"));
+    cr_assert(contains(again, R"("prompt":"p")"));
 }
 
-Test(resumed_streams, silent_stream_goes_on_over_a_fresh_connection)
+Test(resumed_streams, silent_stream_is_continued_on_a_fresh_connection)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -125,41 +129,41 @@
                 peer.wait_for_close();
                 return;
             }
-            peer.start_stream(after_cancel(peer), tag);
+            peer.start_stream(request_after_cancel(peer), tag);
             peer.send_chunk(event(2) + "data: [DONE]\n\n");
             peer.send("0\r\n\r\n");
         });
-    const std::string body = body_of(backend, {}, impatient());
+    const std::string body = streamed_body(backend, {}, short_timeouts());
     cr_assert(body == whole_stream(), "%s", body.c_str());
     cr_assert_eq(backend.connections(), 2);
 }
 
-Test(resumed_streams, pieces_of_two_generations_are_never_joined)
+Test(resumed_streams, parts_of_two_generations_are_never_joined)
 {
     const std::string body =
-        cut_and_joined("ETag: \"g2\"\r\n", event(2) + "data: [DONE]\n\n");
+        body_after_cut("ETag: \"g2\"\r\n", event(2) + "data: [DONE]\n\n");
     cr_assert(
         body.starts_with(event(0) + event(1) + "event: error\n"),
         "%s",
         body.c_str());
-    cr_assert(!has(body, "[DONE]"));
+    cr_assert(!contains(body, "[DONE]"));
 }
 
-Test(resumed_streams, missing_and_doubled_events_are_never_passed_on)
+Test(resumed_streams, missing_and_duplicate_events_are_never_passed_on)
 {
     for (const int next : {0, 1, 3})
     {
         const std::string body =
-            cut_and_joined(tag, event(next) + "data: [DONE]\n\n");
+            body_after_cut(tag, event(next) + "data: [DONE]\n\n");
         cr_assert(
             body.starts_with(event(0) + event(1) + "event: error\n"),
             "%s",
             body.c_str());
-        cr_assert(!has(body, "[DONE]"));
+        cr_assert(!contains(body, "[DONE]"));
     }
 }
 
-Test(resumed_streams, whole_answer_is_not_taken_for_the_rest_of_a_stream)
+Test(resumed_streams, unstreamed_answer_does_not_continue_a_stream)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -167,11 +171,11 @@
             if (peer.number == 0)
                 send_first_two(peer, peer.read_request());
             else if (peer.number == 1)
-                peer.answer(after_cancel(peer), R"({"ok":1})");
+                peer.answer(request_after_cancel(peer), R"({"ok":1})");
         });
-    const std::string body = body_of(backend);
-    cr_assert(has(body, "event: error\n"), "%s", body.c_str());
-    cr_assert(!has(body, R"({"ok":1})"));
+    const std::string body = streamed_body(backend);
+    cr_assert(contains(body, "event: error\n"), "%s", body.c_str());
+    cr_assert(!contains(body, R"({"ok":1})"));
 }
 
 Test(resumed_streams, claimed_stream_is_not_sent_again)
@@ -186,7 +190,7 @@
             ++runs;
             send_first_two(peer, request);
         });
-    const std::string body = body_of(backend, "Idempotency-Key: k\r\n");
+    const std::string body = streamed_body(backend, "Idempotency-Key: k\r\n");
     cr_assert(
         body.starts_with(event(0) + event(1) + "event: error\n"),
         "%s",
@@ -194,7 +198,9 @@
     cr_assert_eq(runs, 1);
 }
 
-Test(silent_connections, call_is_sent_again_on_a_fresh_one_of_the_same_server)
+Test(
+    silent_connections,
+    call_is_sent_again_on_a_fresh_connection_to_the_same_server)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -207,10 +213,10 @@
                 peer.answer(lost, R"({"late":1})");
                 return;
             }
-            peer.answer(after_cancel(peer), R"({"run":2})");
+            peer.answer(request_after_cancel(peer), R"({"run":2})");
             peer.wait_for_close();
         });
-    edge_fixture fixture(impatient());
+    edge_fixture fixture(short_timeouts());
     fixture.dispatch.address = backend.address();
     fixture.start();
     test_caller caller = fixture.caller();
@@ -223,7 +229,7 @@
     cr_assert_eq(fixture.observer.silent, 1);
 }
 
-Test(silent_connections, server_that_refuses_after_the_switch_may_have_run_it)
+Test(silent_connections, refusal_after_the_switch_means_may_have_run)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -231,11 +237,12 @@
             if (peer.number == 0)
                 peer.answer(peer.read_request(), "{}");
             else if (peer.number == 1)
-                peer.answer(after_cancel(peer), R"({"error":"not_run"})", 503);
+                peer.answer(
+                    request_after_cancel(peer), R"({"error":"not_run"})", 503);
             if (peer.number < 2)
                 peer.wait_for_close();
         });
-    edge_fixture fixture(impatient());
+    edge_fixture fixture(short_timeouts());
     fixture.dispatch.address = backend.address();
     fixture.start();
     test_caller caller = fixture.caller();
@@ -256,13 +263,13 @@
             for (auto request = peer.read_request(); !request.empty();
                  request = peer.read_request())
             {
-                const bool counts = has(request, "Idempotency-Key: k");
+                const bool counts = contains(request, "Idempotency-Key: k");
                 runs += counts ? 1 : 0;
                 if (!counts)
                     peer.answer(request, "{}");
             }
         });
-    edge_fixture fixture(impatient());
+    edge_fixture fixture(short_timeouts());
     fixture.dispatch.address = backend.address();
     fixture.claims.given.result = claim_result::status::granted;
     fixture.start();
@@ -286,7 +293,7 @@
             [&](backend_peer& peer)
             {
                 const std::string request = peer.read_request();
-                if (has(request, "/v1/engine/cancel"))
+                if (contains(request, "/v1/engine/cancel"))
                 {
                     ++cancels;
                     return;
--- a/tests/unit/edge/test_served_calls.cpp
+++ b/tests/unit/edge/test_served_calls.cpp
@@ -29,7 +29,7 @@
     return std::string(document.at("reason").as_string());
 }
 
-/// Answers every request on every connection with the same body.
+/// Responds to every request on a connection with the same body.
 void answer_all(backend_peer& peer)
 {
     for (auto request = peer.read_request(); !request.empty();
@@ -47,7 +47,7 @@
     return !dispatch.results().empty();
 }
 
-edge_options impatient()
+edge_options short_timeouts()
 {
     edge_options options;
     options.first_byte_timeout = std::chrono::milliseconds(100);
@@ -205,7 +205,7 @@
                 ++cancels;
             peer.wait_for_close();
         });
-    edge_fixture fixture(impatient());
+    edge_fixture fixture(short_timeouts());
     fixture.dispatch.address = backend.address();
     fixture.claims.given.result = claim_result::status::granted;
     fixture.start();
@@ -223,19 +223,19 @@
         fixture.claims.closed().at(0).outcome == claim_outcome::may_have_run);
 }
 
-Test(served_calls, silent_kept_connections_are_replaced)
+Test(served_calls, silent_pooled_connections_are_replaced)
 {
     fake_backend backend(
         [](backend_peer& peer)
         {
-            // A cancel is answered, too, as engines do.
+            // Engines also respond to a cancel.
             peer.answer(peer.read_request(), "{}");
             if (peer.number != 0)
                 answer_all(peer);
             else
                 peer.wait_for_close();
         });
-    edge_fixture fixture(impatient());
+    edge_fixture fixture(short_timeouts());
     fixture.dispatch.address = backend.address();
     fixture.start();
     test_caller caller = fixture.caller();
@@ -247,7 +247,7 @@
     cr_assert_eq(fixture.observer.silent, 1);
 }
 
-Test(served_calls, engine_refusals_are_told_apart_from_answers)
+Test(served_calls, engine_refusals_are_distinguished_from_answers)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -271,9 +271,9 @@
     cr_assert(results.at(2).how == end::answered);
 }
 
-// A cancel of an earlier run that comes late stops the run at hand, too: what
-// the engine says of it isn't the caller's answer.
-Test(served_calls, a_cancelled_run_is_not_an_answer)
+// A late cancel of an earlier run also stops the current run of the request.
+// The engine's error response about this must not be passed to the caller.
+Test(served_calls, cancelled_run_is_not_passed_on_as_an_answer)
 {
     fake_backend backend(
         [](backend_peer& peer)
@@ -325,7 +325,7 @@
     cr_assert(all_results_are(fixture.dispatch, end::no_progress));
 }
 
-Test(served_calls, time_is_kept_of_the_deadline_for_the_answers_way)
+Test(served_calls, backend_deadline_reserves_time_to_send_the_answer)
 {
     std::string seen;
     fake_backend backend(
@@ -360,7 +360,7 @@
     cr_assert(closed[0].body == R"({"ok":1})");
 }
 
-Test(claims, a_key_reused_with_other_content_gets_no_answer_of_another_call)
+Test(claims, key_reused_with_other_content_is_refused)
 {
     fake_backend backend(answer_all);
     edge_fixture fixture;
@@ -386,7 +386,7 @@
     cr_assert_eq(backend.connections(), 0);
 }
 
-Test(claims, a_key_older_than_what_is_remembered_is_refused)
+Test(claims, key_past_the_claim_horizon_is_refused)
 {
     fake_backend backend(answer_all);
     edge_fixture fixture;
@@ -425,9 +425,10 @@
     cr_assert(replay.body() == given.body);
     cr_assert(replay["X-Roseworks-Replayed"] == "1");
     given.result = claim_result::status::unavailable;
-    const auto away = fixture.call(service_call("Idempotency-Key: k\r\n"));
-    cr_assert_eq(away.result_int(), 503);
-    cr_assert(reason_of(away) == "log_unavailable");
+    const auto claim_unavailable =
+        fixture.call(service_call("Idempotency-Key: k\r\n"));
+    cr_assert_eq(claim_unavailable.result_int(), 503);
+    cr_assert(reason_of(claim_unavailable) == "log_unavailable");
     cr_assert_eq(backend.connections(), 0);
     cr_assert_eq(fixture.dispatch.abandoned, 3);
     cr_assert(fixture.claims.closed().empty());
--- a/tests/unit/edge/test_shared_dispatcher.cpp
+++ b/tests/unit/edge/test_shared_dispatcher.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-/// One ready model with room for one stream.
-class small_table : public routing_table
+/// A routing table with one ready model that can serve one stream at a time.
+class single_model_table : public routing_table
 {
 public:
-    small_table()
+    single_model_table()
     {
         this->model.id = servable_id(1);
         this->model.name = "m";
@@ -67,7 +67,7 @@
     servable_routes model;
 };
 
-/// A dispatcher whose timer runs on a thread of its own.
+/// A dispatcher whose timer runs on a separate thread.
 struct running_dispatcher
 {
     running_dispatcher()
@@ -83,7 +83,7 @@
                   this->loop.run();
               })
     {
-        this->shared->table_changed(std::make_shared<small_table>());
+        this->shared->table_changed(std::make_shared<single_model_table>());
     }
 
     ~running_dispatcher()
@@ -109,8 +109,8 @@
     std::thread thread;
 };
 
-/// Keeps the replies to one request.
-struct reply_log
+/// Records the replies to one request.
+struct reply_recorder
 {
     dispatch_port::reply_handler handler()
     {
@@ -136,9 +136,9 @@
 Test(shared_dispatcher, grants_in_turn_and_refuses_unknown_targets)
 {
     running_dispatcher running;
-    reply_log first;
-    reply_log second;
-    reply_log unknown;
+    reply_recorder first;
+    reply_recorder second;
+    reply_recorder unknown;
     const auto left = std::chrono::minutes(1);
     const ticket one =
         running.shared->submit(running.request("m", left), first.handler());
@@ -154,11 +154,11 @@
     cr_assert_eq(running.shared->in_flight(), 1);
 }
 
-Test(shared_dispatcher, timer_refuses_what_its_deadline_passes)
+Test(shared_dispatcher, timer_refuses_requests_past_their_deadline)
 {
     running_dispatcher running;
-    reply_log first;
-    reply_log waiting;
+    reply_recorder first;
+    reply_recorder waiting;
     running.shared->submit(
         running.request("m", std::chrono::minutes(1)), first.handler());
     running.shared->submit(
@@ -174,7 +174,7 @@
         refusal_reason::deadline);
 }
 
-Test(shared_dispatcher, threads_get_one_final_answer_each)
+Test(shared_dispatcher, concurrent_calls_each_get_one_final_reply)
 {
     constexpr int callers = 4;
     constexpr int calls = 200;
@@ -184,7 +184,7 @@
     {
         for (int i = 0; i < calls; ++i)
         {
-            reply_log log;
+            reply_recorder log;
             const ticket request = running.shared->submit(
                 running.request("m", std::chrono::minutes(1)), log.handler());
             cr_assert(eventually(
--- a/tests/unit/edge/test_sse_reader.cpp
+++ b/tests/unit/edge/test_sse_reader.cpp
@@ -11,8 +11,10 @@
 
 constexpr std::size_t limit = 64;
 
-/// What is passed on when the text comes in pieces of this size.
-std::string pass(std::string_view text, std::size_t piece, sse_reader& reader)
+/// Feeds the text in pieces of the given size.
+/// @return The bytes that are passed on.
+std::string
+feed_in_pieces(std::string_view text, std::size_t piece, sse_reader& reader)
 {
     std::string passed;
     for (std::size_t at = 0; at < text.size(); at += piece)
@@ -25,24 +27,25 @@
 
 } // namespace
 
-Test(sse_reader, pieces_make_no_difference)
+Test(sse_reader, result_does_not_depend_on_read_sizes)
 {
     constexpr std::string_view text =
         "data: a\n\n: note\r\n\r\ndata: b\r\rdata:[DONE]\r\n\r\n";
     for (std::size_t piece = 1; piece <= text.size(); ++piece)
     {
         sse_reader reader(limit);
-        const std::string passed = pass(text, piece, reader);
+        const std::string passed = feed_in_pieces(text, piece, reader);
         cr_assert(passed + reader.done_event() == text);
         cr_assert(reader.done_event() == "data:[DONE]\r\n\r\n");
         cr_assert_eq(reader.tokens(), 2);
     }
 }
 
-Test(sse_reader, half_an_event_is_held_back)
+Test(sse_reader, incomplete_event_is_held_back)
 {
     sse_reader reader(limit);
-    cr_assert(pass("data: a\n\ndata: b\n", 1, reader) == "data: a\n\n");
+    cr_assert(
+        feed_in_pieces("data: a\n\ndata: b\n", 1, reader) == "data: a\n\n");
     reader.finish();
     cr_assert(reader.take_ready() == "data: b\n\n\n");
 }
@@ -50,7 +53,7 @@
 Test(sse_reader, what_follows_done_is_discarded)
 {
     sse_reader reader(limit);
-    cr_assert(pass("data: [DONE]\n\ndata: a\n\n", 1, reader).empty());
+    cr_assert(feed_in_pieces("data: [DONE]\n\ndata: a\n\n", 1, reader).empty());
     cr_assert(reader.done_event() == "data: [DONE]\n\n");
     cr_assert_eq(reader.tokens(), 0);
 }
@@ -58,7 +61,7 @@
 Test(sse_reader, done_inside_a_larger_event_is_data)
 {
     sse_reader reader(limit);
-    pass("data: a\ndata: [DONE]\n\n", 1, reader);
+    feed_in_pieces("data: a\ndata: [DONE]\n\n", 1, reader);
     cr_assert(reader.done_event().empty());
     cr_assert_eq(reader.tokens(), 1);
 }
--- a/tests/unit/edge/test_streams.cpp
+++ b/tests/unit/edge/test_streams.cpp
@@ -11,7 +11,7 @@
 
 using end = attempt_result::end;
 
-bool has(const std::string& text, std::string_view part)
+bool contains(const std::string& text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -66,8 +66,8 @@
     fixture.start();
     const auto answer = fixture.call(completion({}, true));
     cr_assert(answer.body().starts_with("data: one\n\nevent: error\ndata: {"));
-    cr_assert(has(answer.body(), R"("verdict":"may-have-run")"));
-    cr_assert(!has(answer.body(), "[DONE]"));
+    cr_assert(contains(answer.body(), R"("verdict":"may-have-run")"));
+    cr_assert(!contains(answer.body(), "[DONE]"));
     cr_assert(fixture.dispatch.results().at(0).how == end::broken);
 }
 
@@ -83,8 +83,8 @@
     fixture.dispatch.address = backend.address();
     fixture.start();
     const auto answer = fixture.call(completion({}, true));
-    cr_assert(has(answer.body(), "event: error"));
-    cr_assert(!has(answer.body(), "[DONE]"));
+    cr_assert(contains(answer.body(), "event: error"));
+    cr_assert(!contains(answer.body(), "[DONE]"));
 }
 
 Test(streams, stream_that_breaks_before_an_event_is_retried)
@@ -132,7 +132,7 @@
         [&cancels](backend_peer& peer)
         {
             const std::string request = peer.read_request();
-            if (has(request, "/v1/engine/cancel"))
+            if (contains(request, "/v1/engine/cancel"))
             {
                 ++cancels;
                 return;
@@ -146,7 +146,7 @@
     fixture.start();
     test_caller caller = fixture.caller();
     caller.send(completion({}, true));
-    cr_assert(has(caller.read_until("data: one\n\n"), "data: one"));
+    cr_assert(contains(caller.read_until("data: one\n\n"), "data: one"));
     caller.close();
     cr_assert(eventually(
         [&]
@@ -164,7 +164,7 @@
 Test(streams, caller_leaving_while_it_waits_abandons_the_request)
 {
     edge_fixture fixture;
-    fixture.dispatch.granting = false;
+    fixture.dispatch.grants_enabled = false;
     fixture.start();
     test_caller caller = fixture.caller();
     caller.send(completion());
@@ -181,7 +181,7 @@
         }));
 }
 
-Test(streams, claimed_call_goes_on_without_its_caller)
+Test(streams, claimed_call_continues_after_its_caller_has_left)
 {
     std::atomic<bool> arrived{false};
     std::atomic<bool> go_on{false};
--- a/tests/unit/edge/test_tls.cpp
+++ b/tests/unit/edge/test_tls.cpp
@@ -26,9 +26,10 @@
 
 namespace ssl = boost::asio::ssl;
 
-const std::string health = "GET /healthz HTTP/1.1\r\nHost: r\r\n\r\n";
+const std::string health_request = "GET /healthz HTTP/1.1\r\nHost: r\r\n\r\n";
 
-/// What became of reading certificate files: the problem's text, or empty.
+/// Runs a step that reads certificate files.
+/// @return The error text; empty on success.
 template <class Step>
 std::string problem_of(Step&& step)
 {
@@ -64,7 +65,8 @@
         });
 }
 
-std::function<tls::context_ptr()> shown(const context_source& certificate)
+std::function<tls::context_ptr()>
+certificate_callback(const context_source& certificate)
 {
     return [&certificate]
     {
@@ -72,7 +74,7 @@
     };
 }
 
-/// A caller over TLS with a blocking socket.
+/// An HTTPS client with a blocking socket.
 class tls_caller
 {
 public:
@@ -86,7 +88,8 @@
         SSL* const native = this->stream.native_handle();
         SSL_set_min_proto_version(native, TLS1_VERSION);
         SSL_set_max_proto_version(native, newest);
-        // Else OpenSSL's own client refuses what the server shall refuse.
+        // Otherwise OpenSSL's client rejects old versions before the server
+        // can reject them.
         SSL_set_security_level(native, 0);
         SSL_set_alpn_protos(
             native,
@@ -94,7 +97,7 @@
             http_1_1 ? sizeof(protocols) - 1 : sizeof(others) - 1);
         this->stream.next_layer().connect(
             {asio::ip::address_v4::loopback(), port});
-        this->stream.handshake(ssl::stream_base::client, this->failed);
+        this->stream.handshake(ssl::stream_base::client, this->handshake_error);
     }
 
     std::optional<http_answer> call(const std::string& text)
@@ -115,7 +118,7 @@
 
     void close()
     {
-        // Says goodbye without waiting for the server's.
+        // Sends close_notify without waiting for that of the server.
         boost::system::error_code ignored;
         this->stream.next_layer().shutdown(
             tcp::socket::shutdown_receive, ignored);
@@ -147,7 +150,7 @@
         return text;
     }
 
-    boost::system::error_code failed;
+    boost::system::error_code handshake_error;
 
 private:
     asio::io_context context;
@@ -162,27 +165,30 @@
 {
     const test_certificate files("serves");
     const auto certificate = loaded(files);
-    edge_fixture fixture({}, shown(*certificate));
+    edge_fixture fixture({}, certificate_callback(*certificate));
     const auto port = fixture.start();
     tls_caller newest(port);
-    cr_assert(!newest.failed, "%s", newest.failed.message().c_str());
+    cr_assert(
+        !newest.handshake_error,
+        "%s",
+        newest.handshake_error.message().c_str());
     cr_assert_eq(newest.version(), "TLSv1.3");
     cr_assert_eq(newest.protocol(), "http/1.1");
     for (int i = 0; i < 3; ++i)
-        cr_assert_eq(newest.call(health)->result_int(), 200U);
+        cr_assert_eq(newest.call(health_request)->result_int(), 200U);
     tls_caller older(port, TLS1_2_VERSION);
     cr_assert_eq(older.version(), "TLSv1.2");
-    cr_assert_eq(older.call(health)->result_int(), 200U);
+    cr_assert_eq(older.call(health_request)->result_int(), 200U);
 }
 
 Test(tls, refuses_old_versions_other_protocols_and_plain_text)
 {
     const test_certificate files("refuses");
     const auto certificate = loaded(files);
-    edge_fixture fixture({}, shown(*certificate));
+    edge_fixture fixture({}, certificate_callback(*certificate));
     const auto port = fixture.start();
-    cr_assert(bool(tls_caller(port, TLS1_1_VERSION).failed));
-    cr_assert(bool(tls_caller(port, TLS1_3_VERSION, false).failed));
+    cr_assert(bool(tls_caller(port, TLS1_1_VERSION).handshake_error));
+    cr_assert(bool(tls_caller(port, TLS1_3_VERSION, false).handshake_error));
     test_caller plain = fixture.caller();
     plain.send(completion());
     cr_assert_not(plain.read().has_value());
@@ -193,10 +199,10 @@
 {
     const test_certificate files("before");
     const auto certificate = loaded(files);
-    edge_fixture fixture({}, shown(*certificate));
+    edge_fixture fixture({}, certificate_callback(*certificate));
     const auto port = fixture.start();
     tls_caller open(port);
-    cr_assert_eq(open.call(health)->result_int(), 200U);
+    cr_assert_eq(open.call(health_request)->result_int(), 200U);
     files.replace("after");
     cr_assert_str_empty(problem_of(
                             [&]
@@ -204,11 +210,11 @@
                                 return certificate->reload();
                             })
                             .c_str());
-    cr_assert_eq(open.call(health)->result_int(), 200U);
+    cr_assert_eq(open.call(health_request)->result_int(), 200U);
     cr_assert_eq(open.server_name(), "before");
     tls_caller fresh(port);
     cr_assert_eq(fresh.server_name(), "after");
-    cr_assert_eq(fresh.call(health)->result_int(), 200U);
+    cr_assert_eq(fresh.call(health_request)->result_int(), 200U);
 
     std::ofstream(files.certificate()) << "no certificate\n";
     const auto again = [&]
@@ -217,7 +223,7 @@
     };
     const std::string problem = problem_of(again);
     cr_assert(problem.starts_with("certificate " + files.certificate()));
-    cr_assert_str_empty(problem_of(again).c_str(), "told once");
+    cr_assert_str_empty(problem_of(again).c_str(), "reported once");
     cr_assert_eq(tls_caller(port).server_name(), "after");
 }
 
@@ -253,8 +259,8 @@
     const auto certificate = loaded(files);
     for (const int version : {TLS1_2_VERSION, TLS1_3_VERSION})
     {
-        edge_fixture fixture({}, shown(*certificate));
-        fixture.dispatch.granting = false;
+        edge_fixture fixture({}, certificate_callback(*certificate));
+        fixture.dispatch.grants_enabled = false;
         const auto port = fixture.start();
         tls_caller caller(port, version);
         caller.send(completion());
