--- a/src/adapters/edge/backend_attempt.cpp
+++ b/src/adapters/edge/backend_attempt.cpp
@@ -255,7 +255,7 @@
 asio::awaitable<void> backend_attempt::read_buffered(header_parser& header)
 {
     const edge_options& options = this->pool.context.options;
-    const bool verifiable = !header.need_eof();
+    const bool is_delimited = !header.need_eof();
     http::response_parser<http::string_body> parser(std::move(header));
     parser.body_limit(options.max_answer_bytes);
     while (!parser.is_done())
@@ -272,7 +272,7 @@
             co_return;
         }
     }
-    if (!verifiable)
+    if (!is_delimited)
     {
         this->set_end(end::broken);
         co_return;
--- a/src/adapters/edge/backend_attempt.hpp
+++ b/src/adapters/edge/backend_attempt.hpp
@@ -68,7 +68,7 @@
 
 private:
     using header_parser = http::response_parser<http::empty_body>;
-    using answer_head = header_parser::value_type::header_type;
+    using response_header = header_parser::value_type::header_type;
     using end = attempt_result::end;
 
     asio::awaitable<void> exchange();
@@ -82,11 +82,11 @@
     asio::awaitable<void> read_buffered(header_parser& header);
     asio::awaitable<void> relay_stream(header_parser& header);
     asio::awaitable<bool>
-    write_events(const std::string& events, const answer_head& head);
-    asio::awaitable<bool> begin_stream(const answer_head& head);
+    write_events(const std::string& events, const response_header& head);
+    asio::awaitable<bool> begin_stream(const response_header& head);
 
     bool may_switch_connection() const;
-    bool continues_stream(const answer_head& head);
+    bool continues_stream(const response_header& head);
     void account_for_both_runs();
     bool has_matching_request_id(const http::fields& header);
     void classify_response();
--- a/src/adapters/edge/backend_attempt_stream.cpp
+++ b/src/adapters/edge/backend_attempt_stream.cpp
@@ -22,7 +22,7 @@
 asio::awaitable<void> backend_attempt::relay_stream(header_parser& header)
 {
     const edge_options& options = this->pool.context.options;
-    const bool verifiable = !header.need_eof();
+    const bool is_delimited = !header.need_eof();
     http::response_parser<http::buffer_body> parser(std::move(header));
     std::array<char, read_buffer_bytes> read_buffer;
     if (!this->continues_stream(parser.get().base()))
@@ -48,16 +48,16 @@
             co_return;
         }
         const std::size_t received = read_buffer.size() - body.size;
-        const bool fits = events.feed({read_buffer.data(), received});
+        const bool accepted = events.feed({read_buffer.data(), received});
         this->outcome.result.tokens = earlier_tokens + events.tokens();
         const std::string ready = events.take_ready();
         if (!ready.empty())
             gaps.record_event(this->pool.context.now());
-        const bool passed =
+        const bool written =
             co_await this->write_events(ready, parser.get().base());
-        if (!passed)
+        if (!written)
             co_return;
-        if (!fits)
+        if (!accepted)
         {
             this->set_end(end::broken);
             co_return;
@@ -66,15 +66,15 @@
     events.finish();
     this->outcome.result.tokens = earlier_tokens + events.tokens();
     const bool done = !events.done_event().empty();
-    const bool whole = this->call.is_service() ? verifiable : done;
-    if (!whole)
+    const bool complete = this->call.is_service() ? is_delimited : done;
+    if (!complete)
     {
         this->set_end(end::broken);
         co_return;
     }
     const std::string last = events.take_ready() + events.done_event();
-    const bool passed = co_await this->write_events(last, parser.get().base());
-    if (!passed)
+    const bool written = co_await this->write_events(last, parser.get().base());
+    if (!written)
         co_return;
     const bool begun = co_await this->begin_stream(parser.get().base());
     if (!begun)
@@ -85,7 +85,7 @@
 }
 
 asio::awaitable<bool> backend_attempt::write_events(
-    const std::string& events, const answer_head& head)
+    const std::string& events, const response_header& head)
 {
     if (events.empty())
         co_return true;
@@ -97,13 +97,13 @@
         // The request can no longer be sent again.
         this->call.body = std::string();
     }
-    const bool passed = co_await this->response.write(events);
-    if (!passed)
+    const bool written = co_await this->response.write(events);
+    if (!written)
         this->set_end(end::caller_left);
-    co_return passed;
+    co_return written;
 }
 
-asio::awaitable<bool> backend_attempt::begin_stream(const answer_head& head)
+asio::awaitable<bool> backend_attempt::begin_stream(const response_header& head)
 {
     if (!this->first_byte_arrived)
     {
@@ -118,7 +118,7 @@
     co_return begun;
 }
 
-bool backend_attempt::continues_stream(const answer_head& head)
+bool backend_attempt::continues_stream(const response_header& head)
 {
     const auto tag = head[http::field::etag];
     const bool follows =
--- a/src/adapters/edge/backend_pool.cpp
+++ b/src/adapters/edge/backend_pool.cpp
@@ -46,14 +46,16 @@
         this->context.backend_tls);
 }
 
-bool backend_pool::is_usable(backend_connection& connection, const peer& at)
+bool backend_pool::is_usable(
+    backend_connection& connection, const peer& peer_state)
 {
     const instant now = this->context.now();
     if (now - connection.opened > this->context.options.connection_max_age)
         return false;
     if (now - connection.last_used > this->context.options.connection_max_idle)
         return false;
-    if (connection.serial <= std::max(at.suspect_up_to, at.dropped_up_to))
+    if (connection.serial <=
+        std::max(peer_state.suspect_up_to, peer_state.dropped_up_to))
         return false;
     const tls::idle_state state = connection.stream.look();
     if (state == tls::idle_state::has_bytes)
@@ -67,16 +69,16 @@
 
 void backend_pool::add_idle(backend_connection_ptr connection)
 {
-    peer& at = this->peers[connection->address];
+    peer& peer_state = this->peers[connection->address];
     connection->last_used = this->context.now();
     const bool full =
-        at.idle.size() >= this->context.options.max_idle_connections;
+        peer_state.idle.size() >= this->context.options.max_idle_connections;
     if (full || connection->buffer.size() != 0 ||
-        !this->is_usable(*connection, at))
+        !this->is_usable(*connection, peer_state))
         return;
     connection->buffer.shrink_to_fit();
     connection->pooled = true;
-    at.idle.push_back(std::move(connection));
+    peer_state.idle.push_back(std::move(connection));
 }
 
 void backend_pool::record_response(const backend_connection& connection)
@@ -84,16 +86,18 @@
     const auto found = this->peers.find(connection.address);
     if (found == this->peers.end())
         return;
-    peer& at = found->second;
-    if (at.suspect_up_to == 0 || connection.serial <= at.suspect_up_to)
+    peer& peer_state = found->second;
+    if (peer_state.suspect_up_to == 0 ||
+        connection.serial <= peer_state.suspect_up_to)
         return;
-    at.dropped_up_to = std::max(at.dropped_up_to, at.suspect_up_to);
-    at.suspect_up_to = 0;
+    peer_state.dropped_up_to =
+        std::max(peer_state.dropped_up_to, peer_state.suspect_up_to);
+    peer_state.suspect_up_to = 0;
     std::erase_if(
-        at.idle,
-        [&at](const backend_connection_ptr& kept)
+        peer_state.idle,
+        [&peer_state](const backend_connection_ptr& kept)
         {
-            return kept->serial <= at.dropped_up_to;
+            return kept->serial <= peer_state.dropped_up_to;
         });
     this->context.observer.connection_silent(connection.address);
     this->context.events.report(
@@ -102,11 +106,12 @@
 
 void backend_pool::record_silence(const backend_connection& connection)
 {
-    peer& at = this->peers[connection.address];
+    peer& peer_state = this->peers[connection.address];
     if (connection.pooled)
-        at.suspect_up_to = std::max(at.suspect_up_to, connection.serial);
-    else if (connection.serial > at.suspect_up_to)
-        at.suspect_up_to = 0;
+        peer_state.suspect_up_to =
+            std::max(peer_state.suspect_up_to, connection.serial);
+    else if (connection.serial > peer_state.suspect_up_to)
+        peer_state.suspect_up_to = 0;
 }
 
 void backend_pool::cancel(
@@ -122,29 +127,29 @@
 {
     for (auto& entry : this->peers)
     {
-        peer& at = entry.second;
+        peer& peer_state = entry.second;
         std::erase_if(
-            at.idle,
+            peer_state.idle,
             [&](const backend_connection_ptr& kept)
             {
-                return !this->is_usable(*kept, at);
+                return !this->is_usable(*kept, peer_state);
             });
     }
     std::erase_if(
         this->peers,
         [](const auto& entry)
         {
-            const peer& at = entry.second;
-            return at.idle.empty() && at.suspect_up_to == 0 &&
-                   at.dropped_up_to == 0;
+            const peer& peer_state = entry.second;
+            return peer_state.idle.empty() && peer_state.suspect_up_to == 0 &&
+                   peer_state.dropped_up_to == 0;
         });
 }
 
 std::size_t backend_pool::idle() const
 {
     std::size_t total = 0;
-    for (const auto& [address, at] : this->peers)
-        total += at.idle.size();
+    for (const auto& [address, peer_state] : this->peers)
+        total += peer_state.idle.size();
     return total;
 }
 
--- a/src/adapters/edge/backend_pool.hpp
+++ b/src/adapters/edge/backend_pool.hpp
@@ -71,7 +71,7 @@
         std::uint64_t dropped_up_to = 0; ///< serials up to this are dropped
     };
 
-    bool is_usable(backend_connection& connection, const peer& at);
+    bool is_usable(backend_connection& connection, const peer& peer_state);
 
     std::unordered_map<std::string, peer> peers;
     std::uint64_t last_serial = 0;
--- a/src/adapters/edge/call_headers.cpp
+++ b/src/adapters/edge/call_headers.cpp
@@ -55,7 +55,7 @@
     return milliseconds(value);
 }
 
-leaf::result<stamp_ms> parse_issued(std::string_view text)
+leaf::result<stamp_ms> parse_key_issued(std::string_view text)
 {
     stamp_ms value = 0;
     const char* const end = text.data() + text.size();
@@ -100,7 +100,7 @@
     BOOST_LEAF_AUTO(issued, single_value(fields, "Idempotency-Key-Issued"));
     if (issued)
     {
-        BOOST_LEAF_ASSIGN(into.key_issued, parse_issued(*issued));
+        BOOST_LEAF_ASSIGN(into.key_issued, parse_key_issued(*issued));
     }
     return {};
 }
--- a/src/adapters/edge/call_runner.cpp
+++ b/src/adapters/edge/call_runner.cpp
@@ -96,8 +96,8 @@
         this->call.info,
         [messages = this->weak_inbox()](const dispatch_port::reply& answer)
         {
-            if (const auto open = messages.lock())
-                open->post_reply(answer);
+            if (const auto live = messages.lock())
+                live->post_reply(answer);
         });
     asio::co_spawn(
         this->pool.executor,
@@ -154,8 +154,9 @@
              {"servable", this->call.info.target},
              {"attempt", this->record.attempts}});
     }
-    backend_attempt leg(this->pool, this->call, *this->inbox, this->stream);
-    attempt_outcome outcome = co_await leg.run(std::move(where));
+    backend_attempt current_attempt(
+        this->pool, this->call, *this->inbox, this->stream);
+    attempt_outcome outcome = co_await current_attempt.run(std::move(where));
     const bool ran = outcome.sent && outcome.result.how != end::refused_not_run;
     this->may_have_run = this->may_have_run || ran;
     this->record.first_byte = outcome.result.first_byte;
@@ -194,8 +195,8 @@
         *this->call.claim,
         [messages = this->weak_inbox()](const claim_result& result)
         {
-            if (const auto open = messages.lock())
-                open->post_claim(result);
+            if (const auto live = messages.lock())
+                live->post_claim(result);
         });
     // Waits for the result even if the call must end: a claim that is granted
     // to it afterwards must still be closed.
--- a/src/adapters/edge/caller_session.cpp
+++ b/src/adapters/edge/caller_session.cpp
@@ -27,8 +27,8 @@
 /// that is already open.
 constexpr std::chrono::milliseconds drain_idle_timeout{500};
 /// Part of the deadline reserved for sending the response, so that a refusal at
-/// the last moment still reaches the caller in time. For short deadlines it is
-/// at most the whole divided by `send_margin_divisor`.
+/// the last moment still reaches the caller in time. For short deadlines the
+/// margin is limited to `1 / send_margin_divisor` of the deadline.
 constexpr std::chrono::milliseconds send_margin{25};
 constexpr int send_margin_divisor = 20;
 
--- a/tests/unit/edge/edge_fixture.cpp
+++ b/tests/unit/edge/edge_fixture.cpp
@@ -20,13 +20,13 @@
 bool may_retry(const request_info& info, const attempt_result& result)
 {
     using end = attempt_result::end;
-    const bool untouched =
+    const bool not_executed =
         result.how == end::not_sent || result.how == end::refused_not_run;
     const bool broken = result.how == end::broken ||
                         result.how == end::no_progress ||
                         result.how == end::stopped;
     const bool whole_or_resumed = !result.answer_started || result.resumable;
-    return whole_or_resumed && (untouched || (broken && info.repeatable));
+    return whole_or_resumed && (not_executed || (broken && info.repeatable));
 }
 
 } // namespace
@@ -69,12 +69,13 @@
         return {false, verdict::not_run, refusal_reason::none};
     }
     using end = attempt_result::end;
-    const bool untouched =
+    const bool not_executed =
         result.how == end::not_sent || result.how == end::refused_not_run;
     const auto reason = result.how == end::no_progress
                             ? refusal_reason::backend_timeout
                             : refusal_reason::backend_failed;
-    return {true, untouched ? verdict::not_run : verdict::may_have_run, reason};
+    return {
+        true, not_executed ? verdict::not_run : verdict::may_have_run, reason};
 }
 
 void fake_dispatch::abandon(ticket)
