--- a/src/adapters/edge/backend_connection.hpp
+++ b/src/adapters/edge/backend_connection.hpp
@@ -15,10 +15,11 @@
 namespace roseworks::edge
 {
 
-/// Bytes read ahead of a backend server at most, and its header's limit.
-inline constexpr std::size_t max_buffered = std::size_t(16) << 10;
+/// Limit of the bytes read ahead from a backend server, and of the size of its
+/// response header.
+inline constexpr std::size_t max_read_ahead_bytes = std::size_t(16) << 10;
 
-/// A connection to a backend server; carries one exchange at a time.
+/// A connection to a backend server. It carries one exchange at a time.
 struct backend_connection
 {
     backend_connection(
@@ -28,39 +29,42 @@
         instant now,
         const tls::connector* tls)
         : stream(executor)
-        , buffer(max_buffered)
+        , buffer(max_read_ahead_bytes)
         , address(std::move(where))
         , serial(number)
         , opened(now)
         , last_used(now)
-        , secured_by(tls)
+        , tls_connector(tls)
     {
     }
 
     tls::secure_stream stream;
     beast::flat_buffer buffer;
     std::string address;  ///< ip:port
-    std::uint64_t serial; ///< later ones are higher
+    std::uint64_t serial; ///< increases with each new connection
     instant opened;
-    instant last_used;                ///< end of the last exchange
-    bool pooled = false;              ///< has carried an exchange before
-    const tls::connector* secured_by; ///< null: plain
+    instant last_used;                   ///< end of the last exchange
+    bool pooled = false;                 ///< has carried an exchange before
+    const tls::connector* tls_connector; ///< null: plain TCP
 };
 
 using backend_connection_ptr = std::unique_ptr<backend_connection>;
 
-/// @param address `ip:port`, the ip of version 6 in brackets.
-/// @param into    set when the address can be read.
-/// @return        whether it can.
+/// @param address `ip:port`; an IPv6 address is in brackets.
+/// @param into    Set if the address is valid.
+/// @return        Whether the address is valid.
 bool parse_address(const std::string& address, tcp::endpoint& into);
 
-/// Connects, sets what finds dead peers (keepalive probes and a limit on
-/// unacknowledged data), and secures the connection where it has to be.
-/// @param limit For connecting and the handshake together.
-/// @return Whether it is connected.
+/// Connects, enables the detection of dead peers (keepalive probes and
+/// `TCP_USER_TIMEOUT`), and does the TLS handshake if the connection has a
+/// connector.
+/// @param limit            Time limit for connecting and the handshake
+/// together.
+/// @param tcp_user_timeout The value of `TCP_USER_TIMEOUT`.
+/// @return                 Whether the connection is ready for use.
 asio::awaitable<bool> connect(
     backend_connection& connection,
     std::chrono::steady_clock::duration limit,
-    std::chrono::milliseconds unacknowledged);
+    std::chrono::milliseconds tcp_user_timeout);
 
 } // namespace roseworks::edge
--- a/src/adapters/edge/backend_context.hpp
+++ b/src/adapters/edge/backend_context.hpp
@@ -11,8 +11,8 @@
 namespace roseworks::edge
 {
 
-/// What calls to backend servers need of their surroundings. All of it has to
-/// outlive the event loops.
+/// Options and ports shared by all calls to backend servers. The referenced
+/// objects must outlive the event loops.
 struct backend_context
 {
     backend_context(
@@ -20,12 +20,12 @@
         clock_port& time,
         event_sink& sink,
         traffic_observer& counts,
-        const tls::connector* secured_by)
+        const tls::connector* tls_connector)
         : options(settings)
         , clock(time)
         , events(sink)
         , observer(counts)
-        , backend_tls(secured_by)
+        , backend_tls(tls_connector)
     {
     }
 
--- a/src/adapters/edge/backend_pool.cpp
+++ b/src/adapters/edge/backend_pool.cpp
@@ -18,7 +18,7 @@
 }
 
 backend_connection_ptr
-backend_pool::take(const std::string& address, duration longest_idle)
+backend_pool::acquire(const std::string& address, duration longest_idle)
 {
     const auto found = this->peers.find(address);
     if (found == this->peers.end())
@@ -29,7 +29,8 @@
         backend_connection_ptr connection = std::move(idle.back());
         idle.pop_back();
         const duration unused = this->context.now() - connection->last_used;
-        if (unused <= longest_idle && this->usable(*connection, found->second))
+        if (unused <= longest_idle &&
+            this->is_usable(*connection, found->second))
             return connection;
     }
     return nullptr;
@@ -45,14 +46,16 @@
         this->context.backend_tls);
 }
 
-bool backend_pool::usable(backend_connection& connection, const peer& at)
+bool backend_pool::is_usable(
+    backend_connection& connection, const peer& peer_state)
 {
     const instant now = this->context.now();
     if (now - connection.opened > this->context.options.connection_max_age)
         return false;
     if (now - connection.last_used > this->context.options.connection_max_idle)
         return false;
-    if (connection.serial <= std::max(at.suspect, at.dropped))
+    if (connection.serial <=
+        std::max(peer_state.suspect_up_to, peer_state.dropped_up_to))
         return false;
     const tls::idle_state state = connection.stream.look();
     if (state == tls::idle_state::has_bytes)
@@ -64,48 +67,51 @@
     return state == tls::idle_state::quiet;
 }
 
-void backend_pool::put(backend_connection_ptr connection)
+void backend_pool::add_idle(backend_connection_ptr connection)
 {
-    peer& at = this->peers[connection->address];
+    peer& peer_state = this->peers[connection->address];
     connection->last_used = this->context.now();
     const bool full =
-        at.idle.size() >= this->context.options.max_idle_connections;
+        peer_state.idle.size() >= this->context.options.max_idle_connections;
     if (full || connection->buffer.size() != 0 ||
-        !this->usable(*connection, at))
+        !this->is_usable(*connection, peer_state))
         return;
     connection->buffer.shrink_to_fit();
     connection->pooled = true;
-    at.idle.push_back(std::move(connection));
+    peer_state.idle.push_back(std::move(connection));
 }
 
-void backend_pool::answered(const backend_connection& connection)
+void backend_pool::record_response(const backend_connection& connection)
 {
     const auto found = this->peers.find(connection.address);
     if (found == this->peers.end())
         return;
-    peer& at = found->second;
-    if (at.suspect == 0 || connection.serial <= at.suspect)
+    peer& peer_state = found->second;
+    if (peer_state.suspect_up_to == 0 ||
+        connection.serial <= peer_state.suspect_up_to)
         return;
-    at.dropped = std::max(at.dropped, at.suspect);
-    at.suspect = 0;
+    peer_state.dropped_up_to =
+        std::max(peer_state.dropped_up_to, peer_state.suspect_up_to);
+    peer_state.suspect_up_to = 0;
     std::erase_if(
-        at.idle,
-        [&at](const backend_connection_ptr& kept)
+        peer_state.idle,
+        [&peer_state](const backend_connection_ptr& kept)
         {
-            return kept->serial <= at.dropped;
+            return kept->serial <= peer_state.dropped_up_to;
         });
     this->context.observer.connection_silent(connection.address);
     this->context.events.report(
         event_id::connection_silent, {{"address", connection.address}});
 }
 
-void backend_pool::silent(const backend_connection& connection)
+void backend_pool::record_silence(const backend_connection& connection)
 {
-    peer& at = this->peers[connection.address];
+    peer& peer_state = this->peers[connection.address];
     if (connection.pooled)
-        at.suspect = std::max(at.suspect, connection.serial);
-    else if (connection.serial > at.suspect)
-        at.suspect = 0;
+        peer_state.suspect_up_to =
+            std::max(peer_state.suspect_up_to, connection.serial);
+    else if (connection.serial > peer_state.suspect_up_to)
+        peer_state.suspect_up_to = 0;
 }
 
 void backend_pool::cancel(
@@ -121,28 +127,29 @@
 {
     for (auto& entry : this->peers)
     {
-        peer& at = entry.second;
+        peer& peer_state = entry.second;
         std::erase_if(
-            at.idle,
+            peer_state.idle,
             [&](const backend_connection_ptr& kept)
             {
-                return !this->usable(*kept, at);
+                return !this->is_usable(*kept, peer_state);
             });
     }
     std::erase_if(
         this->peers,
         [](const auto& entry)
         {
-            const peer& at = entry.second;
-            return at.idle.empty() && at.suspect == 0 && at.dropped == 0;
+            const peer& peer_state = entry.second;
+            return peer_state.idle.empty() && peer_state.suspect_up_to == 0 &&
+                   peer_state.dropped_up_to == 0;
         });
 }
 
 std::size_t backend_pool::idle() const
 {
     std::size_t total = 0;
-    for (const auto& [address, at] : this->peers)
-        total += at.idle.size();
+    for (const auto& [address, peer_state] : this->peers)
+        total += peer_state.idle.size();
     return total;
 }
 
--- a/src/adapters/edge/caller_session.hpp
+++ b/src/adapters/edge/caller_session.hpp
@@ -11,24 +11,25 @@
 namespace roseworks::edge
 {
 
-/// One caller's connection, request after request.
+/// Serves the requests of one caller connection in order.
 class caller_session
 {
 public:
     caller_session(
         edge_context& shared, backend_pool& connections, tcp::socket socket);
 
-    /// Serves until the connection ends.
+    /// Serves requests until the connection ends.
     asio::awaitable<void> run();
 
-    /// Answers that too many connections are open, and closes.
-    asio::awaitable<void> turn_away();
+    /// Responds that too many connections are open, then closes.
+    asio::awaitable<void> reject_over_limit();
 
-    /// The router drains: closes the connection when it is idle; otherwise
-    /// the running request's answer closes it.
+    /// Starts draining: closes the connection if it is idle. Otherwise it is
+    /// closed after the response to the running request.
     void start_drain();
 
-    /// The drain limit is reached.
+    /// Ends the running call with an explicit error, or closes the connection
+    /// if there is none.
     void force_end();
 
 private:
@@ -39,13 +40,15 @@
     asio::awaitable<bool> serve(prepared_call call);
     asio::awaitable<bool> serve_call(prepared_call call);
     asio::awaitable<bool> serve_inline(const prepared_call& call);
-    asio::awaitable<void>
-    refuse(call_problem problem, const prepared_call* call, answer_frame frame);
+    asio::awaitable<void> refuse(
+        call_problem problem,
+        const prepared_call* call,
+        response_context answer_context);
 
     checked_head check(const caller_parser& parser);
-    whole_answer answer_inline(const prepared_call& call);
-    std::string models_text() const;
-    answer_frame frame_of(const prepared_call& call) const;
+    buffered_response answer_inline(const prepared_call& call);
+    std::string models_json() const;
+    response_context context_of(const prepared_call& call) const;
 
     edge_context& context;
     backend_pool& pool;
--- a/src/adapters/edge/shared_dispatcher.hpp
+++ b/src/adapters/edge/shared_dispatcher.hpp
@@ -19,34 +19,35 @@
 namespace roseworks::edge
 {
 
-/** The router's one `dispatcher`, shared by the traffic threads.
+/** Makes the `dispatcher` of the router available to all traffic threads.
 
-    Every call is one short critical section; replies and notices are handed
-    out after it. A timer on the given executor ticks the dispatcher when it
-    has work. Thread-safe. Use through a `shared_ptr`.
+    Every call is one short critical section. Replies and notifications are
+    delivered after the lock is released. A timer on the given executor calls
+    `dispatcher::tick` when it is due. Thread-safe. Must be owned by a
+    `shared_ptr`.
 */
 class shared_dispatcher : public dispatch_port,
                           public std::enable_shared_from_this<shared_dispatcher>
 {
 public:
-    /// What the control thread is told; called from any thread, must not
-    /// block.
-    struct notices
+    /// Callbacks that notify the control thread. Called from any thread; must
+    /// not block.
+    struct callbacks
     {
         std::function<void(const demand&)> on_demand;
         std::function<void(const crash_seen&)> on_crash;
         std::function<void(const permit_wanted&)> on_permit_wanted;
     };
 
-    /// @param core     the dispatcher.
-    /// @param executor runs the timer.
-    /// @param clock    the steady clock.
-    /// @param tell     takes demand and crashes.
+    /// @param core     The dispatcher.
+    /// @param executor Runs the timer.
+    /// @param clock    The steady clock.
+    /// @param notify   Receives demand, crashes and permit requests.
     static std::shared_ptr<shared_dispatcher> make(
         dispatcher core,
         const boost::asio::any_io_executor& executor,
         const clock_port& clock,
-        notices tell);
+        callbacks notify);
 
     ticket submit(request_info info, reply_handler handler) override;
     dispatcher::finish
@@ -54,7 +55,7 @@
     void abandon(ticket request) override;
     void drain() override;
 
-    /// See the functions of the same name of `dispatcher`.
+    /// See the functions of the same name in `dispatcher`.
     void table_changed(routing_table_ptr table);
     void load_reported(const load_report& report);
     void routers_alive(std::size_t count);
@@ -62,7 +63,7 @@
     void vm_leaving(std::string_view vm, bool leaving);
     void crash_examined(const crash_seen& what, crash_finding finding);
     void server_limited(const server_place& server, double per_second);
-    /// @param wait How long until the permit counts.
+    /// @param wait Time until the permit becomes valid.
     void permit_given(const server_place& server, duration wait);
     void permit_refused(const server_place& server, duration retry_after);
     bool permit_withdrawn(const server_place& server);
@@ -70,45 +71,46 @@
     std::size_t queued() const;
     std::size_t in_flight() const;
 
-    /// Stops the timer; the event loop may then run out of work.
+    /// Stops the timer, so that the event loop can run out of work.
     void stop();
 
 private:
-    /// What is handed out once the lock is released.
-    struct handout
+    /// Replies and notifications to deliver after the lock is released.
+    struct pending_output
     {
         std::vector<std::pair<reply_handler, reply>> replies;
         std::vector<demand> demands;
         std::vector<crash_seen> crashes;
         std::vector<permit_wanted> permits;
-        bool rearm = false;
+        bool restart_timer_needed = false;
     };
 
     shared_dispatcher(
         dispatcher owned,
         const boost::asio::any_io_executor& executor,
         const clock_port& time,
-        notices listener);
+        callbacks listener);
 
-    /// Runs `step(now)` under the lock, then hands out what it led to.
+    /// Runs `step(now)` under the lock, then delivers the resulting output.
     template <class Step>
-    void locked(Step step);
-    handout collect();
-    void collect(handout& into, const dispatch_command& command);
-    void collect_reply(handout& into, const reply& answer, ticket request);
-    void hand_out(const handout& what);
-    void arm();
+    void with_lock(Step step);
+    pending_output collect();
+    void collect(pending_output& into, const dispatch_command& command);
+    void
+    collect_reply(pending_output& into, const reply& answer, ticket request);
+    void deliver(const pending_output& what);
+    void schedule_timer_restart();
     void restart_timer();
     void tick();
 
     mutable std::mutex mutex;
     dispatcher core;
     std::unordered_map<ticket, reply_handler> waiters;
-    std::optional<instant> armed;
+    std::optional<instant> timer_due;
     bool stopped = false;
 
     const clock_port& clock;
-    notices tell;
+    callbacks notify;
     boost::asio::any_io_executor timer_executor;
     boost::asio::steady_timer timer; ///< used on its executor only
 };
--- a/src/adapters/forward/forward_server.cpp
+++ b/src/adapters/forward/forward_server.cpp
@@ -43,7 +43,7 @@
 
 beast::error_code forward_server::listen(const edge::tcp::endpoint& endpoint)
 {
-    beast::error_code error = edge::listen_at(this->acceptor, endpoint);
+    beast::error_code error = edge::open_listener(this->acceptor, endpoint);
     if (!error)
         this->bound_endpoint = this->acceptor.local_endpoint(error);
     if (error)
@@ -67,13 +67,13 @@
     while (this->acceptor.is_open())
     {
         auto [error, socket] =
-            co_await this->acceptor.async_accept(edge::quietly);
+            co_await this->acceptor.async_accept(edge::use_awaitable_tuple);
         if (error == asio::error::operation_aborted)
             co_return;
         if (error)
         {
             pause.expires_after(accept_pause);
-            co_await pause.async_wait(edge::quietly);
+            co_await pause.async_wait(edge::use_awaitable_tuple);
             continue;
         }
         asio::co_spawn(
@@ -108,7 +108,7 @@
     while (!this->stopped)
     {
         this->sweep_timer.expires_after(sweep_interval);
-        co_await this->sweep_timer.async_wait(edge::quietly);
+        co_await this->sweep_timer.async_wait(edge::use_awaitable_tuple);
         this->pool.sweep();
     }
 }
--- a/src/adapters/forward/quota_gate.cpp
+++ b/src/adapters/forward/quota_gate.cpp
@@ -61,14 +61,14 @@
                 });
         });
     while (!pending->decision && !inbox.interrupted())
-        co_await pending->timer.async_wait(edge::quietly);
+        co_await pending->timer.async_wait(edge::use_awaitable_tuple);
     const bool has_to_wait = pending->decision &&
                              pending->decision->is_allowed &&
                              pending->decision->wait > duration::zero();
     if (has_to_wait && !inbox.interrupted())
     {
         pending->timer.expires_after(pending->decision->wait);
-        co_await pending->timer.async_wait(edge::quietly);
+        co_await pending->timer.async_wait(edge::use_awaitable_tuple);
     }
     inbox.on_interrupt = nullptr;
     if (!inbox.interrupted())
--- a/src/adapters/forward/server_exchange.cpp
+++ b/src/adapters/forward/server_exchange.cpp
@@ -71,7 +71,7 @@
 
 asio::awaitable<exchange_state> server_exchange::open(duration longest_idle)
 {
-    this->connection = this->pool.take(this->server_address, longest_idle);
+    this->connection = this->pool.acquire(this->server_address, longest_idle);
     if (this->connection)
         co_return exchange_state::ok;
     this->connection = this->pool.make(this->server_address);
@@ -80,7 +80,7 @@
     const bool opened = co_await edge::connect(
         *this->connection,
         std::clamp(remaining, duration(1), max_timeout),
-        this->context.options.unacknowledged);
+        this->context.options.tcp_user_timeout);
     if (this->inbox.interrupted())
         co_return exchange_state::interrupted;
     co_return opened ? exchange_state::ok : exchange_state::not_sent;
@@ -92,7 +92,7 @@
     const auto [error, size] = co_await asio::async_write(
         this->connection->stream,
         asio::buffer(bytes.data(), bytes.size()),
-        edge::quietly);
+        edge::use_awaitable_tuple);
     this->any_byte_sent = this->any_byte_sent || size != 0;
     if (!error)
         co_return exchange_state::ok;
@@ -116,7 +116,7 @@
             to_string_view(this->head()[names.request_id]);
         if (echoed.empty() || echoed == id)
         {
-            this->pool.answered(*this->connection);
+            this->pool.record_response(*this->connection);
             co_return exchange_state::ok;
         }
         this->response_skipped = true;
@@ -135,7 +135,8 @@
 asio::awaitable<exchange_state> server_exchange::read_one_head(bool head_only)
 {
     this->parser.emplace();
-    this->parser->header_limit(static_cast<std::uint32_t>(edge::max_buffered));
+    this->parser->header_limit(
+        static_cast<std::uint32_t>(edge::max_read_ahead_bytes));
     this->parser->body_limit(boost::none);
     this->parser->skip(head_only);
     this->apply_deadline();
@@ -143,7 +144,7 @@
         this->connection->stream,
         this->connection->buffer,
         *this->parser,
-        edge::quietly);
+        edge::use_awaitable_tuple);
     if (error)
         co_return this->failure_state(error);
     this->close_delimited = this->parser->need_eof();
@@ -165,7 +166,7 @@
             this->connection->stream,
             this->connection->buffer,
             *this->parser,
-            edge::quietly);
+            edge::use_awaitable_tuple);
         const std::size_t received = this->buffer.size() - body.size;
         if (error && error != http::error::need_buffer)
             co_return this->failure_state(error);
@@ -185,7 +186,7 @@
     if (!reusable || !this->connection)
         return;
     this->connection->stream.expires_never();
-    this->pool.put(std::move(this->connection));
+    this->pool.add_idle(std::move(this->connection));
 }
 
 exchange_state server_exchange::failure_state(beast::error_code error) const
--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -68,7 +68,7 @@
     edge::edge_options made;
     made.connect_timeout = backend_connect_timeout;
     made.connection_max_idle = backend_max_idle;
-    made.proof_of_life = single_send_max_idle;
+    made.non_repeatable_max_idle = single_send_max_idle;
     made.max_idle_connections = 8;
     made.connection_max_age = milliseconds(300'000);
     return made;
--- a/tests/unit/edge/edge_fixture.cpp
+++ b/tests/unit/edge/edge_fixture.cpp
@@ -15,18 +15,18 @@
 namespace
 {
 
-constexpr std::chrono::seconds generous{20};
+constexpr std::chrono::seconds poll_timeout{20};
 
-bool may_try_again(const request_info& info, const attempt_result& result)
+bool may_retry(const request_info& info, const attempt_result& result)
 {
     using end = attempt_result::end;
-    const bool untouched =
+    const bool not_executed =
         result.how == end::not_sent || result.how == end::refused_not_run;
     const bool broken = result.how == end::broken ||
                         result.how == end::no_progress ||
                         result.how == end::stopped;
     const bool whole_or_resumed = !result.answer_started || result.resumable;
-    return whole_or_resumed && (untouched || (broken && info.repeatable));
+    return whole_or_resumed && (not_executed || (broken && info.repeatable));
 }
 
 } // namespace
@@ -37,13 +37,13 @@
     const ticket request(++this->last);
     entry& added = this->entries[request];
     added = {std::move(info), std::move(handler)};
-    if (this->granting)
-        this->give(request, added);
+    if (this->grants_enabled)
+        this->send_grant(request, added);
     ++this->submitted;
     return request;
 }
 
-void fake_dispatch::give(ticket request, entry& what)
+void fake_dispatch::send_grant(ticket request, entry& what)
 {
     grant given;
     given.request = request;
@@ -63,18 +63,19 @@
     if (result.how == attempt_result::end::answered ||
         result.how == attempt_result::end::caller_left)
         return {};
-    if (may_try_again(known.info, result) && known.attempts < max_attempts)
+    if (may_retry(known.info, result) && known.attempts < max_attempts)
     {
-        this->give(request, known);
+        this->send_grant(request, known);
         return {false, verdict::not_run, refusal_reason::none};
     }
     using end = attempt_result::end;
-    const bool untouched =
+    const bool not_executed =
         result.how == end::not_sent || result.how == end::refused_not_run;
     const auto reason = result.how == end::no_progress
                             ? refusal_reason::backend_timeout
                             : refusal_reason::backend_failed;
-    return {true, untouched ? verdict::not_run : verdict::may_have_run, reason};
+    return {
+        true, not_executed ? verdict::not_run : verdict::may_have_run, reason};
 }
 
 void fake_dispatch::abandon(ticket)
@@ -143,12 +144,15 @@
     return answer;
 }
 
-std::string test_caller::read_until(std::string_view mark)
+std::string test_caller::read_until(std::string_view delimiter)
 {
     std::string text;
     boost::system::error_code ignored;
     asio::read_until(
-        this->socket, asio::dynamic_buffer(text), std::string(mark), ignored);
+        this->socket,
+        asio::dynamic_buffer(text),
+        std::string(delimiter),
+        ignored);
     return text;
 }
 
@@ -168,7 +172,7 @@
         this->guards.emplace_back(this->loops.back()->get_executor());
         executors.emplace_back(this->loops.back()->get_executor());
     }
-    edge_dependencies needs{
+    edge_dependencies dependencies{
         this->dispatch,
         this->claims,
         this->introspection,
@@ -181,7 +185,7 @@
         },
         std::move(certificate)};
     this->edge = std::make_unique<server>(
-        options, std::move(needs), std::move(executors));
+        options, std::move(dependencies), std::move(executors));
 }
 
 edge_fixture::~edge_fixture()
@@ -230,7 +234,7 @@
 
 bool eventually(const std::function<bool()>& condition)
 {
-    const auto end = std::chrono::steady_clock::now() + generous;
+    const auto end = std::chrono::steady_clock::now() + poll_timeout;
     while (!condition())
     {
         if (std::chrono::steady_clock::now() > end)
