--- a/src/adapters/events/event_catalogue.cpp
+++ b/src/adapters/events/event_catalogue.cpp
@@ -14,421 +14,446 @@
 using enum event_id;
 using enum event_level;
 
-constexpr std::string_view nothing = "Nothing.";
+constexpr std::string_view no_action = "No action needed.";
 
 constexpr event_entry entries[] = {
     // clang-format off
     {router_started, info, "router_started",
-     "The process has read its settings and starts.",
-     "data_centre, version, incarnation", nothing},
+     "The process has read its settings and is starting.",
+     "data_centre, version, incarnation", no_action},
     {router_ready, info, "router_ready",
-     "The log is folded to its end; the router takes requests.",
-     "elapsed_ms, http, udp", nothing},
+     "The router has applied the log up to its end and accepts requests.",
+     "elapsed_ms, http, udp", no_action},
     {drain_started, info, "drain_started",
-     "A shutdown was asked for: no new request is taken.",
-     "in_flight, queued, signal", nothing},
+     "Shutdown was requested; the router accepts no new requests.",
+     "in_flight, queued, signal", no_action},
     {drain_finished, info, "drain_finished",
-     "No request is in flight any more.",
-     "elapsed_ms, unfinished", nothing},
+     "No requests remain in flight.",
+     "elapsed_ms, unfinished", no_action},
     {router_stopped, info, "router_stopped",
-     "The process ends.",
-     "status", nothing},
+     "The process is exiting.",
+     "status", no_action},
     {settings_refused, error, "settings_refused",
-     "Keys that were read anew cannot be used; the old ones stay in use.",
+     "Reloaded keys or credentials are invalid; the previous ones stay in use.",
      "reason",
-     "Correct the file of keys or credentials that the line names."},
+     "Correct the key or credentials file named in the event."},
     {drain_limit_reached, warn, "drain_limit_reached",
-     "Requests were still in flight at the drain limit and were ended with an "
-     "explicit error.",
+     "Requests still in flight at the drain limit were ended with an explicit "
+     "error.",
      "unfinished, limit_ms",
-     "Raise router.drain_limit_ms if the platform leaves more time."},
+     "Raise router.drain_limit_ms if the platform allows more time for a "
+     "shutdown."},
     {listen_failed, error, "listen_failed",
-     "An address of the settings cannot be listened on.",
+     "The process cannot listen on a configured address.",
      "address, protocol, reason",
-     "See which process holds the address, or correct the settings."},
+     "Find the process that uses the address, or correct the settings."},
     {internal_error, error, "internal_error",
-     "A fault of the program was contained.",
+     "An internal error was caught and contained.",
      "where, reason",
-     "Report it with the lines around it."},
+     "Report it together with the surrounding log lines."},
     {handover_unfinished, warn, "handover_unfinished",
-     "A shutdown ended at its limit before the log said that this router had "
-     "left. Others take the engines' leases once these have lapsed or the VM "
-     "list shows the VM gone.",
+     "Shutdown reached its time limit before the log confirmed that this "
+     "router had left. Other routers take over its engine leases when these "
+     "lapse, or when the VM list shows that the VM is gone.",
      "session, engines, log, limit_ms",
-     "See to the log service, or to the engine that does not answer an order."},
+     "Check the log service, or the engine that does not answer an order."},
     {certificate_reloaded, info, "certificate_reloaded",
-     "New connections use what the certificate files of a section now hold.",
-     "section", nothing},
+     "New connections use the reloaded certificate files of a section.",
+     "section", no_action},
     {certificate_refused, error, "certificate_refused",
-     "A certificate file can't be used; new connections still use what was read "
-     "before.",
+     "A certificate file cannot be used; new connections keep using the files "
+     "read before.",
      "setting, file, reason",
-     "Put a certificate and its key there; they are read again every 5 s and on "
-     "SIGHUP."},
+     "Install a valid certificate and key; the files are read again every 5 s "
+     "and on SIGHUP."},
     {handshake_failed, error, "handshake_failed",
-     "No TLS connection to a server came about; nothing was sent to it. Told "
-     "once for each address and reason until one succeeds.",
+     "A TLS connection to a server could not be established; nothing was sent "
+     "to it. Reported once for each address and reason until a handshake "
+     "succeeds.",
      "address, setting, file, reason",
-     "Compare the server's certificate, its IP numbers and its times with the "
-     "file of the setting; with no file named, see whether it speaks TLS."},
+     "Compare the server's certificate, its IP addresses and its validity "
+     "period with the file of the setting; if no file is named, check whether "
+     "the server speaks TLS."},
 
     {log_unreachable, warn, "log_unreachable",
-     "The log does not answer. Serving goes on from the folded state; nothing "
-     "new is decided.",
+     "The log does not answer. The router keeps serving from the state it has "
+     "and makes no new decisions.",
      "reason, offset",
-     "See to the log service if it lasts."},
+     "Check the log service if this persists."},
     {log_back, info, "log_back",
      "The log answers again.",
-     "offset, elapsed_ms", nothing},
+     "offset, elapsed_ms", no_action},
     {log_gap, error, "log_gap",
-     "The log has forgotten entries this router has not read; it rejoins from "
-     "a checkpoint.",
+     "The log no longer keeps entries that this router has not read; the "
+     "router rejoins from a checkpoint.",
      "wanted, first_offset",
-     "See that the log keeps entries longer than a router may be away."},
+     "Make the log keep entries for longer than a router may be offline."},
     {append_answer_lost, warn, "append_answer_lost",
-     "The answer to an append was lost; its records may be in the log.",
-     "records", nothing},
+     "The response to an append was lost; its records may be in the log.",
+     "records", no_action},
     {record_rejected, info, "record_rejected",
-     "A record lost against an earlier one; every router rejects it alike.",
+     "A record conflicts with an earlier one and was rejected; every router "
+     "rejects it identically.",
      "offset, kind, record_id, reason, winner",
-     "Nothing, unless it is a change of yours: see who won and send it anew."},
+     "No action needed, unless you made the change: see which record won and "
+     "submit the change again."},
     {schema_unknown, warn, "schema_unknown",
-     "A record has a schema version or kind this router cannot read. It keeps "
-     "the last it could and does not act on that entity.",
+     "This router cannot read the schema version or kind of a record. It keeps "
+     "the last state that it could read and does not act on that entity.",
      "offset, kind, schema, entity",
      "Update this router."},
     {checkpoint_written, info, "checkpoint_written",
-     "A checkpoint of the folded state was appended.",
-     "offset, chunks, hash", nothing},
+     "A checkpoint of the router state was appended to the log.",
+     "offset, chunks, hash", no_action},
     {checkpoint_adopted, info, "checkpoint_adopted",
      "The state was loaded from a checkpoint.",
-     "offset, bytes, hash, source", nothing},
+     "offset, bytes, hash, source", no_action},
     {checkpoint_diverged, error, "checkpoint_diverged",
-     "A checkpoint disagrees with this router's own fold; it is not adopted.",
+     "A checkpoint differs from the state that this router computed; it was "
+     "not adopted.",
      "offset, expected, found, author",
-     "Run roseworks-audit over the log, replace the router it finds wrong and "
-     "report it."},
+     "Run roseworks-audit on the log, replace the router that it reports as "
+     "wrong, and report the fault."},
     {configuration_accepted, info, "configuration_accepted",
-     "A change of the published configuration is in force.",
-     "offset, kind, entity, revision, author", nothing},
+     "A change to the published configuration is in force.",
+     "offset, kind, entity, revision, author", no_action},
     {record_malformed, error, "record_malformed",
-     "An entry of the log cannot be decoded; every router skips it alike.",
+     "A log entry cannot be decoded; every router skips it identically.",
      "offset, bytes",
-     "Find what else writes to the log."},
+     "Find out what else writes to the log."},
     {operator_record_refused, warn, "operator_record_refused",
-     "An operator's record isn't signed by an accepted key, or came again; no "
-     "router counts it.",
+     "An operator's record is not signed by an accepted key, or is a repeat; "
+     "every router ignores it.",
      "offset, kind, record_id, reason, detail",
-     "Ask who sent it. An operator signs with roseworksctl --key-file."},
+     "Ask its sender. Operators sign with roseworksctl --key-file."},
     {operator_keys_differ, error, "operator_keys_differ",
-     "The operators' keys that the log decided aren't those of "
-     "operators.key_file. The decided ones count.",
+     "The operator keys decided in the log differ from those in "
+     "operators.key_file. The keys in the log apply.",
      "problem",
      "Compare `roseworksctl show keys` with the file; docs/operations/keys.md."},
     {operator_keys_agree, info, "operator_keys_agree",
-     "The operators' keys agree with operators.key_file again.",
-     "", nothing},
+     "The operator keys decided in the log match operators.key_file again.",
+     "", no_action},
     {operator_key_changed, info, "operator_key_changed",
-     "An operators' key was accepted or retired.",
-     "offset, number, change, author", nothing},
+     "An operator key was accepted or retired.",
+     "offset, number, change, author", no_action},
 
     {lease_acquired, info, "lease_acquired",
-     "This router may order the engine.",
-     "engine, offset", nothing},
+     "This router may send orders to the engine.",
+     "engine, offset", no_action},
     {lease_lost, warn, "lease_lost",
-     "Another router took the lease.",
-     "engine, holder, offset", nothing},
+     "Another router took over the lease.",
+     "engine, holder, offset", no_action},
     {lease_lapsed, warn, "lease_lapsed",
-     "The lease could not be renewed in time; orders to the engine stop.",
+     "The lease could not be renewed in time; this router stops sending orders "
+     "to the engine.",
      "engine, term_ms",
-     "See whether the log is away or the VM was paused."},
+     "Check whether the log is unreachable or the VM was paused."},
     {lease_released, info, "lease_released",
-     "This router gave the lease back.",
-     "engine, offset", nothing},
+     "This router released the lease.",
+     "engine, offset", no_action},
 
     {replica_decided, info, "replica_decided",
-     "A replica's place was decided in the log; its memory is reserved.",
-     "replica, servable, engine, memory_mib, offset, reason", nothing},
+     "A replica was assigned to an engine in the log; its memory is reserved.",
+     "replica, servable, engine, memory_mib, offset, reason", no_action},
     {replica_loading, info, "replica_loading",
-     "The replica holds a slot of the weight store and loads.",
-     "replica, servable, engine, offset, reason", nothing},
+     "The replica holds a slot of the weight store and is loading.",
+     "replica, servable, engine, offset, reason", no_action},
     {replica_ready, info, "replica_ready",
-     "The replica serves.",
-     "replica, servable, engine, offset, reason", nothing},
+     "The replica is ready to serve.",
+     "replica, servable, engine, offset, reason", no_action},
     {replica_unloading, info, "replica_unloading",
-     "The replica takes no new requests and is being unloaded.",
-     "replica, servable, engine, offset, reason", nothing},
+     "The replica accepts no new requests and is being unloaded.",
+     "replica, servable, engine, offset, reason", no_action},
     {replica_gone, info, "replica_gone",
-     "The replica is proven gone; its memory is free.",
-     "replica, servable, engine, offset, proof", nothing},
+     "The replica is proven to be gone; its memory is free.",
+     "replica, servable, engine, offset, proof", no_action},
     {replica_failed, warn, "replica_failed",
-     "The replica could not be loaded or broke.",
+     "The replica could not be loaded, or failed.",
      "replica, servable, engine, offset, reason",
-     "See the engine's own log; if it goes on, withdraw the version."},
+     "Check the engine's own log; if this repeats, withdraw the version."},
     {order_refused_stale_fence, warn, "order_refused_stale_fence",
-     "The engine has seen a higher fencing number: this router's order was "
-     "late and did nothing.",
+     "The engine has seen a higher fencing token: this router's order came "
+     "late and had no effect.",
      "engine, order_id, fence",
-     "See whether this VM was paused."},
+     "Check whether this VM was paused."},
     {order_answer_lost, warn, "order_answer_lost",
-     "The answer to an order was lost; the engine's state will tell.",
-     "engine, order_id, action, replica", nothing},
+     "The response to an order was lost; the engine's state will show whether "
+     "it took effect.",
+     "engine, order_id, action, replica", no_action},
     {order_refused, warn, "order_refused",
      "The engine refused an order.",
      "engine, order_id, action, replica, reason",
      "On 401 correct engines.credentials_file; on 507 compare the engine's "
      "memory with its record."},
     {order_sent, debug, "order_sent",
-     "An order went to an engine.",
-     "engine, order_id, action, replica, fence", nothing},
+     "An order was sent to an engine.",
+     "engine, order_id, action, replica, fence", no_action},
     {grant_opened, info, "grant_opened",
-     "A standing grant was opened on the engine, or its memory put back: its "
-     "lease holder may load models of it while the log is away.",
-     "engine, memory_mib, slots, term_ms, offset", nothing},
+     "A standing grant was opened on the engine, or its memory was restored: "
+     "the lease holder of the engine may load the grant's models while the log "
+     "is unreachable.",
+     "engine, memory_mib, slots, term_ms, offset", no_action},
     {grant_closed, info, "grant_closed",
      "The engine's standing grant was closed; its memory is free.",
-     "engine, offset", nothing},
+     "engine, offset", no_action},
     {grant_settled, info, "grant_settled",
-     "What became of a granted model: `used` makes it a replica, `freed` lets "
-     "other engines have it.",
-     "replica, outcome, offset", nothing},
+     "The outcome for a granted model was decided: `used` makes it a replica, "
+     "`freed` makes it available to other engines.",
+     "replica, outcome, offset", no_action},
     {grant_used, info, "grant_used",
-     "The log is away and this router ordered a granted model that is wanted.",
+     "The log is unreachable, and this router ordered an engine to load a "
+     "granted model that has requests.",
      "engine, servable, replica, order_id",
-     "See to the log; docs/operations/log-outage.md."},
+     "Check the log; see docs/operations/log-outage.md."},
 
     {peer_joined, info, "peer_joined",
      "Another router answers.",
-     "session", nothing},
+     "session", no_action},
     {peer_gone, info, "peer_gone",
      "Another router left or was replaced.",
-     "session, peer, reason", nothing},
+     "session, peer, reason", no_action},
     {datagram_rejected, warn, "datagram_rejected",
      "Datagrams were malformed, repeated or not authentic and were dropped; "
-     "count is since the last such line, at most one in 10 s.",
+     "count covers the time since the previous such event, at most one in 10 "
+     "s.",
      "address, reason, count",
-     "Compare peers.mac_key_file of the routers; else find the sender."},
+     "Compare peers.mac_key_file across the routers; if it matches, find the "
+     "sender."},
     {vm_leaving, info, "vm_leaving",
-     "A VM is leaving; it gets no new work.",
-     "vm, address, role", nothing},
+     "A VM is leaving; it is given no new work.",
+     "vm, address, role", no_action},
     {vm_list_unreachable, warn, "vm_list_unreachable",
-     "The VM list does not answer; the last one read stays in use.",
+     "The VM list service does not answer; the last list read stays in use.",
      "",
-     "See to the VM list's service if it lasts."},
+     "Check the VM list service if this persists."},
     {vm_list_back, info, "vm_list_back",
-     "The VM list answers again.",
-     "elapsed_ms", nothing},
+     "The VM list service answers again.",
+     "elapsed_ms", no_action},
 
     {engine_unreachable, warn, "engine_unreachable",
      "An engine or plain service does not answer; requests go elsewhere.",
      "engine, reason",
-     "See to the backend server if it lasts."},
+     "Check the backend server if this persists."},
     {engine_back, info, "engine_back",
      "The engine or plain service answers again.",
-     "engine, elapsed_ms, incarnation", nothing},
+     "engine, elapsed_ms, incarnation", no_action},
     {connection_silent, warn, "connection_silent",
-     "An open connection went silent while new ones work; it was replaced.",
+     "An open connection stopped responding while new connections work; it was "
+     "replaced.",
      "address",
-     "If frequent, lower traffic.connection_max_age_ms."},
+     "If this is frequent, lower traffic.connection_max_age_ms."},
     {late_answer_dropped, warn, "late_answer_dropped",
-     "An answer came late or for another request and was dropped.",
-     "engine, request_id, got_request_id", nothing},
+     "A response arrived late or for another request and was dropped.",
+     "engine, request_id, got_request_id", no_action},
     {cache_events_missed, info, "cache_events_missed",
-     "Cache events of an engine are missing; prefix affinity starts anew.",
-     "engine, wanted, got", nothing},
+     "Cache events of an engine were missed; its prefix affinity is rebuilt "
+     "from scratch.",
+     "engine, wanted, got", no_action},
 
     {request_refused, debug, "request_refused",
-     "A request was refused; it did not run.",
+     "A request was refused and did not run.",
      "request_id, servable, caller, priority, reason, status",
-     nothing},
+     no_action},
     {request_retried, info, "request_retried",
      "A request was sent to another backend server.",
-     "request_id, servable, attempt", nothing},
+     "request_id, servable, attempt", no_action},
     {stream_cut, warn, "stream_cut",
      "An engine's stream ended early; it was resumed or ended with an explicit "
      "error.",
-     "request_id, servable, bytes, outcome, reason", nothing},
+     "request_id, servable, bytes, outcome, reason", no_action},
     {crash_suspected, warn, "crash_suspected",
-     "A backend server died while it ran a request; its like runs alone.",
-     "fingerprint, engine", nothing},
+     "A backend server died while it ran a request; requests with the same "
+     "fingerprint run alone.",
+     "fingerprint, engine", no_action},
     {fingerprint_blocked, error, "fingerprint_blocked",
      "Requests with this fingerprint crashed backend servers again and are "
-     "refused for a time.",
+     "temporarily refused.",
      "fingerprint",
-     "Tell the caller and the model's owner."},
+     "Notify the caller and the owner of the model."},
     {fingerprint_unblocked, info, "fingerprint_unblocked",
      "Requests with this fingerprint are allowed again.",
-     "fingerprint", nothing},
+     "fingerprint", no_action},
     {claim_lost, info, "claim_lost",
      "An idempotency key is held by an earlier request; this one did not run.",
-     "request_id, caller, holder", nothing},
+     "request_id, caller, holder", no_action},
     {claim_unavailable, warn, "claim_unavailable",
      "A claim on an idempotency key cannot be decided; the request was refused "
-     "as not run.",
+     "and did not run.",
      "request_id, caller, reason",
-     "See to the log service if it lasts."},
+     "Check the log service if this persists."},
     {caller_left, debug, "caller_left",
-     "The caller closed its connection before the answer ended.",
-     "request_id, servable, caller, bytes", nothing},
+     "The caller closed its connection before the response was complete.",
+     "request_id, servable, caller, bytes", no_action},
     {bad_request, debug, "bad_request",
      "A request was malformed or too large.",
-     "request_id, address, status, reason", nothing},
+     "request_id, address, status, reason", no_action},
     {request_served, info, "request_served",
-     "A backend server's whole answer was passed on, at its first sending. "
+     "A backend server's complete response was relayed on the first attempt. "
      "Sampled under load.",
      "request_id, route, servable, organisation, end, status, reason, server, "
      "server_limit, sends, objective_ms, wait_ms, first_ms, total_ms, events",
-     nothing},
+     no_action},
     {request_ended, info, "request_ended",
-     "A request ended in another way, or was sent more than once.",
+     "A request ended in any other way, or was sent more than once.",
      "request_id, route, servable, organisation, end, status, reason, server, "
      "server_limit, sends, objective_ms, wait_ms, first_ms, total_ms, events, target",
-     "Follow the request's id; docs/OPERATIONS.md shows how."},
+     "Trace the request by its id as shown in docs/OPERATIONS.md."},
     {lines_left_out, warn, "lines_left_out",
-     "So many lines were not written: over the limit of lines a second, or the "
-     "reader of the output did not keep up.",
+     "Log lines were not written: over_limit exceeded the limit of lines per "
+     "second, and not_taken were not accepted in time by the reader of the "
+     "output.",
      "over_limit, not_taken",
-     "See to the reader of the log, or raise log.lines_per_second."},
+     "Check the reader of the log, or raise log.lines_per_second."},
     {deployment_in_force, info, "deployment_in_force",
-     "A newer version of the operators' configuration is in force here.",
-     "version, routes, services", nothing},
+     "A newer version of the operators' configuration is in force on this "
+     "router.",
+     "version, routes, services", no_action},
     {server_seen, info, "server_seen",
-     "A backend server registered, started anew, or changed its state.",
-     "server, service, address, data_centre, state, born_ms", nothing},
+     "A backend server registered, restarted or changed its state.",
+     "server, service, address, data_centre, state, born_ms", no_action},
     {server_gone, info, "server_gone",
-     "A backend server is gone from the registry.",
-     "server", nothing},
+     "A backend server is no longer in the registry.",
+     "server", no_action},
     {store_lost, warn, "store_lost",
-     "The platform's store does not answer. What is known goes on counting; "
-     "nothing new is learnt.",
-     "", "See to the platform's store, or to the network."},
+     "The platform's store does not answer. The data read so far stays in use; "
+     "no updates are received.",
+     "",
+     "Check the platform's store, or the network."},
     {store_back, info, "store_back",
      "The platform's store answers again.",
-     "away_ms", nothing},
+     "away_ms", no_action},
     {settings_reloaded, info, "settings_reloaded",
-     "SIGHUP: the settings were read again. What needs a restart stays.",
-     "changed", nothing},
+     "The settings were read again on SIGHUP. Settings that need a restart "
+     "keep their values.",
+     "changed", no_action},
     {entry_malformed, error, "entry_malformed",
-     "What another writer left in the platform's store cannot be read; it counts "
-     "as not there.",
+     "An entry that another process wrote to the platform's store cannot be "
+     "read; it is treated as absent.",
      "topic, key, reason",
-     "Find who writes it. A configuration that cannot be read leaves the one "
-     "before in force."},
+     "Find its writer. An unreadable configuration leaves the previous one in "
+     "force."},
     {organisations_changed, info, "organisations_changed",
-     "A configuration changed keys or limits of organisations. Dropped keys are "
-     "named by the first digits of their digest.",
-     "version, keys_added, keys_dropped, limits_changed, dropped", nothing},
+     "A configuration changed keys or limits of organisations. Dropped keys "
+     "are identified by the first digits of their digest.",
+     "version, keys_added, keys_dropped, limits_changed, dropped", no_action},
     {limit_reached, warn, "limit_reached",
-     "This router counts for the others, and refused tokens of an organisation "
-     "within the last second: used and refused are sums of that second over "
-     "all routers that ask it, left what the limit has room for, share_percent "
-     "the part of the routers that it hears.",
+     "This router accounts for the others and refused tokens of an "
+     "organisation within the last second: used and refused are totals of that "
+     "second over all routers that ask it, left is what remains of the limit, "
+     "share_percent is the share of the routers that it hears from.",
      "organisation, per_second, burst, used, refused, left, share_percent",
      "Compare used with per_second: docs/OPERATIONS.md shows how."},
     {accountant_changed, info, "accountant_changed",
-     "This router asks another one whether requests are within their "
-     "organisations' limits; nobody: it uses its own part of each.",
-     "accountant", nothing},
+     "This router asks another router whether requests are within their "
+     "organisations' limits. nobody: it asks none and uses its own share of "
+     "each limit.",
+     "accountant", no_action},
     {server_limited, info, "server_limited",
-     "A backend server names a rate limit, or another one than before: so many "
-     "requests a minute, over all routers.",
-     "server, per_minute", nothing},
+     "A backend server announced or changed a rate limit: the number of "
+     "requests per minute over all routers.",
+     "server, per_minute", no_action},
     {server_limit_ended, info, "server_limit_ended",
-     "A backend server names no rate limit any more, is gone, or was started "
-     "anew.",
-     "server", nothing},
+     "A backend server no longer announces a rate limit, is gone, or has "
+     "restarted.",
+     "server", no_action},
     {server_limit_reached, info, "server_limit_reached",
-     "This router counts for the others, and refused permits to send to a "
-     "limited backend server within the last second: used and refused are sums "
-     "of that second over all routers that ask it, share_percent the part of "
-     "the routers that it hears.",
+     "This router accounts for the others and refused permits to send to a "
+     "rate-limited backend server within the last second: used and refused are "
+     "totals of that second over all routers that ask it, share_percent is the "
+     "share of the routers that it hears from.",
      "server, per_minute, used, refused, share_percent",
      "Compare used with per_minute: docs/OPERATIONS.md shows how."},
     {server_limit_malformed, warn, "server_limit_malformed",
-     "A backend server named a rate limit that is no number of requests; it "
-     "counts as not named.",
+     "A backend server announced a rate limit that is not a number of "
+     "requests; it is ignored.",
      "server, value",
-     "Find out what the server means."},
+     "Find out what the server means by the value."},
     {store_read_failed, warn, "store_read_failed",
-     "A read of the platform's store gave nothing; told of the first, second, "
-     "fourth, eighth such read in a row. Unknown: its time limit ended it, or "
-     "its connection broke, after so many bytes.",
+     "A read of the platform's store returned nothing; reported for the first, "
+     "second, fourth, eighth such read in a row, and so on. End `unknown`: the "
+     "time limit ended the read or its connection broke, after received_bytes "
+     "bytes.",
      "topic, end, status, received_bytes, after_ms, in_row, behind_ms",
-     "behind_ms of -1: nothing is known to be missing. See to the store, or to "
+     "behind_ms is -1 when nothing is known to be missing. Check the store, or "
      "this VM's link."},
     {deployment_read, info, "deployment_read",
-     "A record of the operators' configuration came: behind_ms after this "
-     "router heard of it, -1 where it heard of it by this.",
-     "offset, bytes, source, behind_ms, failed_reads", nothing},
+     "A record of the operators' configuration arrived, behind_ms after this "
+     "router learned of it; -1 if it learned of it from this record.",
+     "offset, bytes, source, behind_ms, failed_reads", no_action},
     {registry_listed, info, "registry_listed",
-     "The whole registry of backend servers came.",
-     "servers, source, failed_reads", nothing},
+     "The complete registry of backend servers was received.",
+     "servers, source, failed_reads", no_action},
     {placement_owned, info, "placement_owned",
-     "This router orders the engines from now on.",
-     "fence", nothing},
+     "This router now owns placement and sends orders to the engines.",
+     "fence", no_action},
     {placement_given_up, info, "placement_given_up",
-     "This router orders the engines no longer.",
-     "fence, reason", nothing},
+     "This router no longer owns placement and sends no more orders to the "
+     "engines.",
+     "fence, reason", no_action},
     {engine_ordered, info, "engine_ordered",
-     "An engine was told to load or unload.",
+     "An engine was ordered to load or unload a model or adapter.",
      "engine, action, model, adapter, source, fence, orders_taken, waiting",
-     nothing},
+     no_action},
     {engine_order_ended, info, "engine_order_ended",
-     "The engine's answer to an order, or none.",
-     "engine, action, model, adapter, outcome, after_ms", nothing},
+     "The engine answered an order, or gave no answer.",
+     "engine, action, model, adapter, outcome, after_ms", no_action},
     {engine_examined, info, "engine_examined",
-     "An engine's report was read to learn what it holds.",
-     "engine, outcome, orders_taken, busy", nothing},
+     "An engine's report was read to determine what it holds.",
+     "engine, outcome, orders_taken, busy", no_action},
     {engine_unreached, warn, "engine_unreached",
-     "No connection to an engine could be opened; it gets nothing for a while.",
+     "No connection to an engine could be opened; nothing is sent to it for "
+     "for_ms.",
      "engine, for_ms",
-     "Nothing, unless many routers say so of one engine that runs: look at the "
-     "network between them."},
+     "No action needed, unless many routers report one engine that is running: "
+     "then check the network between them."},
     // clang-format on
 };
 
-constexpr bool numbers_rise()
+constexpr bool numbers_are_ascending()
 {
     return std::ranges::is_sorted(
         entries, std::ranges::less_equal(), &event_entry::id);
 }
 
-static_assert(numbers_rise(), "an event number stands twice or out of order");
+static_assert(
+    numbers_are_ascending(), "event numbers must be unique and ascending");
 
 struct chapter
 {
-    /// The first two digits of its events' numbers.
-    int hundred;
+    /// The first two digits of the four-digit event numbers.
+    int number_prefix;
     std::string_view title;
 };
 
 constexpr chapter chapters[] = {
     {10, "The process"},
-    {11, "The log and the folded state"},
+    {11, "The log and the state derived from it"},
     {12, "Leases"},
     {13, "Replicas and orders to engines"},
     {14, "Peers and the VM list"},
     {15, "Engines and plain services"},
     {16, "Requests"},
     {17, "Forwarding on the operators' routes"},
-    {18, "Placement by orders of one owner"},
+    {18, "Placement by a single owner"},
 };
 
 constexpr std::string_view introduction = R"(# Events
 
 <!-- Generated: `events-reference > docs/EVENTS.md`. -->
 
-What the programs write to their log. Each kind of event has a number that is
-never given to another. As text a line is
-`<UTC time> <LEVEL> <VM> RW<number> <name> <field>=<value> ...`; as JSON it is
-an object with `time`, `level`, `vm`, `event`, `name`, `text` and `fields`.
-Values from outside are escaped, kept on their line and cut at 512 bytes. Which
-levels are written, how and where is in the section `[logging]` of the
-settings. An event carries those of its fields that are known. Fields ending in
-`_ms` are milliseconds, in `_mib` MiB.
+The events that the programs write. Each kind of event has a unique number that
+is never reused. In text format a line is
+`<UTC time> <LEVEL> <VM> RW<number> <name> <field>=<value> ...`; in JSON format
+it is an object with `time`, `level`, `vm`, `event`, `name`, `text` and
+`fields`. External values are escaped, contain no line breaks and are truncated
+at 512 bytes. The section `[logging]` of the settings selects the lowest level,
+the format and the destination. An event carries those of its fields whose
+values are known. Fields ending in `_ms` are in milliseconds, those ending in
+`_mib` in MiB.
 
-What was decided, by whom and why is not here but in the log itself:
-`roseworks-audit` shows that trail.
+Decisions, their authors and their reasons are recorded in the platform's log,
+not in events; `roseworks-audit` lists them.
 )";
 
 void write_entry(std::ostream& out, const event_entry& entry)
@@ -497,7 +522,7 @@
                "|\n|---|---|---|---|---|---|\n";
         for (const event_entry& entry : entries)
         {
-            if (entry.number() / numbers_per_chapter == each.hundred)
+            if (entry.number() / numbers_per_chapter == each.number_prefix)
                 write_entry(out, entry);
         }
     }
--- a/src/adapters/events/event_catalogue.hpp
+++ b/src/adapters/events/event_catalogue.hpp
@@ -10,17 +10,17 @@
 namespace roseworks::events
 {
 
-/// A row of the catalogue: what an event means and what to do about it.
+/// The documentation of one kind of event.
 struct event_entry
 {
     event_id id;
     event_level level;
     std::string_view name;
-    /// What happened, one sentence.
+    /// What happened, in one or more sentences.
     std::string_view text;
-    /// The names of the fields it may carry, separated by ", ".
+    /// The names of the fields that the event may carry, separated by ", ".
     std::string_view fields;
-    /// What the operator should do.
+    /// The action recommended to the operator.
     std::string_view remedy;
 
     /// @return the number printed after `RW`.
@@ -29,20 +29,20 @@
         return static_cast<std::uint16_t>(this->id);
     }
 
-    /// @return whether the catalogue names that field for this event.
+    /// @return whether `fields` lists the field.
     bool has_field(std::string_view field) const;
 };
 
-/// @return all events, by rising number.
+/// @return all events, in ascending order of their numbers.
 std::span<const event_entry> catalogue();
 
-/// @return the row of an event; null for a number that has none.
+/// @return the entry of an event; null if the event is not in the catalogue.
 const event_entry* find_entry(event_id id);
 
 /// @return `debug`, `info`, `warn` or `error`.
 std::string_view to_string(event_level level);
 
-/// Writes docs/EVENTS.md.
+/// Writes the contents of docs/EVENTS.md.
 void write_catalogue(std::ostream& out);
 
 } // namespace roseworks::events
--- a/src/adapters/events/event_line.cpp
+++ b/src/adapters/events/event_line.cpp
@@ -14,36 +14,38 @@
 namespace
 {
 
-constexpr std::size_t longest_value = 512;
-constexpr std::string_view cut_mark = "...";
+constexpr std::size_t max_value_bytes = 512;
+constexpr std::string_view ellipsis = "...";
 constexpr std::string_view uncatalogued = "uncatalogued";
 
-bool is_ascii(char letter)
+bool is_ascii(char character)
 {
-    return static_cast<unsigned char>(letter) < 0x80;
+    return static_cast<unsigned char>(character) < 0x80;
 }
 
-bool is_continuation(char letter)
+bool is_continuation(char character)
 {
-    return (static_cast<unsigned char>(letter) & 0xC0) == 0x80;
+    return (static_cast<unsigned char>(character) & 0xC0) == 0x80;
 }
 
-/// Cuts before a character of UTF-8, not inside it.
-std::string cut(std::string_view text)
+/// Truncates a long value without splitting a UTF-8 character.
+std::string truncate(std::string_view text)
 {
-    if (text.size() <= longest_value)
+    if (text.size() <= max_value_bytes)
         return std::string(text);
-    std::size_t size = longest_value;
+    std::size_t size = max_value_bytes;
     while (size > 0 && is_continuation(text[size]))
         --size;
-    return std::string(text.substr(0, size)) += cut_mark;
+    return std::string(text.substr(0, size)) += ellipsis;
 }
 
-/// @return the text in quotes, as JSON; bytes that are not UTF-8 become `?`.
+/// @return the value as a quoted JSON string, truncated to `max_value_bytes`. A
+///         DEL character becomes `?`, and so does every non-ASCII byte when the
+///         text is not valid UTF-8.
 std::string quote(std::string_view value)
 {
     constexpr char deleted = 0x7f;
-    std::string text = cut(value);
+    std::string text = truncate(value);
     std::ranges::replace(text, deleted, '?');
     std::string quoted = boost::json::serialize(boost::json::string_view(text));
     if (std::ranges::all_of(quoted, is_ascii))
@@ -56,16 +58,16 @@
     return quoted;
 }
 
-bool is_plain(char letter)
+bool needs_no_quotes(char character)
 {
-    return letter > ' ' && letter < 0x7f && letter != '"' && letter != '=' &&
-           letter != '\\';
+    return character > ' ' && character < 0x7f && character != '"' &&
+           character != '=' && character != '\\';
 }
 
 std::string format_text(std::string_view value)
 {
-    const bool plain = !value.empty() && value.size() <= longest_value &&
-                       std::ranges::all_of(value, is_plain);
+    const bool plain = !value.empty() && value.size() <= max_value_bytes &&
+                       std::ranges::all_of(value, needs_no_quotes);
     return plain ? std::string(value) : quote(value);
 }
 
--- a/src/adapters/events/log4cplus_event_sink.cpp
+++ b/src/adapters/events/log4cplus_event_sink.cpp
@@ -18,16 +18,18 @@
 namespace
 {
 
-// %D is the time in UTC, %q its milliseconds, %m the event.
+// %D is the UTC time, %q its milliseconds, %p the level, %m the event and %n
+// the line break.
 constexpr auto text_pattern = "%D{%Y-%m-%dT%H:%M:%S.%qZ} %p %m%n";
 constexpr auto json_pattern = "{\"time\":\"%D{%Y-%m-%dT%H:%M:%S.%qZ}\",%m}%n";
 
-/// Keeps log4cplus alive until the process ends: it cannot be started twice.
+/// Initialises log4cplus for the life of the process, because it cannot be
+/// initialised twice.
 void start_log4cplus()
 {
     static const log4cplus::Initializer initializer;
-    // The pool serves asynchronous appenders, which are not used; it cannot be
-    // smaller.
+    // Only asynchronous appenders use the thread pool, and there are none. One
+    // thread is the smallest size.
     log4cplus::setThreadPoolSize(1);
 }
 
@@ -50,9 +52,9 @@
 log4cplus::SharedAppenderPtr make_console()
 {
     constexpr bool to_standard_error = true;
-    constexpr bool flush_at_once = true;
+    constexpr bool flush_immediately = true;
     return log4cplus::SharedAppenderPtr(
-        new log4cplus::ConsoleAppender(to_standard_error, flush_at_once));
+        new log4cplus::ConsoleAppender(to_standard_error, flush_immediately));
 }
 
 log4cplus::SharedAppenderPtr make_file(const std::string& path)
@@ -105,7 +107,8 @@
     }
     catch (...)
     {
-        // Out of memory or a broken stream: an event is lost, the work goes on.
+        // Out of memory or a failed stream: the event is lost. Logging must not
+        // fail the operation that reports it.
     }
 }
 
--- a/src/adapters/events/log4cplus_event_sink.hpp
+++ b/src/adapters/events/log4cplus_event_sink.hpp
@@ -13,30 +13,31 @@
 namespace roseworks::events
 {
 
-/// What the sink writes and where.
+/// Options of a `log4cplus_event_sink`.
 struct event_sink_options
 {
-    /// The VM's name, part of every line.
+    /// The VM's name, which is part of every line.
     std::string vm;
     /// Events below this level are dropped.
     event_level level = event_level::info;
     line_format format = line_format::text;
-    /// A file to append to; empty for the standard error stream.
+    /// The file to append to; empty for the standard error stream.
     std::string file;
 };
 
-/// Writes events through log4cplus, one line each, times in UTC. Values from
-/// outside are quoted, cut to a bounded length and kept on their line, so a
-/// caller cannot forge a line. Thread-safe; writes are synchronous.
+/// Writes each event as one line through log4cplus, with the time in UTC.
+/// External values are quoted, truncated to a bounded length and written
+/// without line breaks, so that a caller cannot forge log lines. Thread-safe;
+/// writes are synchronous.
 class log4cplus_event_sink final : public event_sink
 {
 public:
-    /// @return a sink on the stated file or the standard error stream; empty
-    ///         when the file cannot be opened.
+    /// @return a sink that writes to `options.file` or to the standard error
+    ///         stream; null if the file cannot be opened.
     static std::unique_ptr<log4cplus_event_sink>
     make(const event_sink_options& options);
 
-    /// A sink on an appender of the caller's; its layout is replaced.
+    /// Creates a sink that writes to `appender` and replaces its layout.
     log4cplus_event_sink(
         const event_sink_options& options,
         log4cplus::SharedAppenderPtr appender);
--- a/src/adapters/events/null_event_sink.hpp
+++ b/src/adapters/events/null_event_sink.hpp
@@ -5,7 +5,7 @@
 namespace roseworks::events
 {
 
-/// Drops every event: for tests and for embedding without logs.
+/// Discards every event. For tests and for embedding without logs.
 class null_event_sink final : public event_sink
 {
 public:
--- a/src/adapters/events/pipe_event_sink.cpp
+++ b/src/adapters/events/pipe_event_sink.cpp
@@ -16,10 +16,10 @@
 namespace
 {
 
-/// A pipe that is ready takes this much without waiting.
-constexpr std::size_t longest_line = PIPE_BUF;
+/// The largest write that a pipe reported as writable accepts without blocking.
+constexpr std::size_t max_line_bytes = PIPE_BUF;
 
-std::string stamp_text(stamp_ms stamp)
+std::string format_timestamp(stamp_ms stamp)
 {
     constexpr stamp_ms second = 1000;
     std::array<char, 40> text{};
@@ -34,8 +34,8 @@
 
 } // namespace
 
-pipe_event_sink::pipe_event_sink(options chosen, const clock_port& time)
-    : settings(std::move(chosen))
+pipe_event_sink::pipe_event_sink(options sink_options, const clock_port& time)
+    : settings(std::move(sink_options))
     , clock(time)
 {
 }
@@ -47,23 +47,23 @@
     try
     {
         const std::lock_guard lock(this->mutex);
-        if (this->admitted(record.id, this->clock.now()))
+        if (this->admit(record.id, this->clock.now()))
             this->write(record);
     }
     catch (const std::exception&)
     {
-        // Out of memory: the line is lost, the request must not be.
-        ++this->missing.not_taken;
+        // Out of memory: the line is lost, but the request must not fail.
+        ++this->dropped.not_taken;
     }
 }
 
 pipe_event_sink::left_out pipe_event_sink::take_left_out()
 {
     const std::lock_guard lock(this->mutex);
-    return std::exchange(this->missing, {});
+    return std::exchange(this->dropped, {});
 }
 
-bool pipe_event_sink::admitted(event_id id, instant now)
+bool pipe_event_sink::admit(event_id id, instant now)
 {
     const std::int64_t current =
         std::chrono::floor<std::chrono::seconds>(now.time_since_epoch())
@@ -72,13 +72,14 @@
     {
         this->second = current;
         this->lines = 0;
-        this->served = 0;
+        this->served_lines = 0;
     }
-    const bool one_of_many = id == event_id::request_served &&
-                             ++this->served > this->settings.served_per_second;
-    if (one_of_many || this->lines >= this->settings.lines_per_second)
+    const bool over_served_limit =
+        id == event_id::request_served &&
+        ++this->served_lines > this->settings.served_per_second;
+    if (over_served_limit || this->lines >= this->settings.lines_per_second)
     {
-        ++this->missing.over_limit;
+        ++this->dropped.over_limit;
         return false;
     }
     ++this->lines;
@@ -89,19 +90,19 @@
 {
     const std::string event =
         format_event(this->settings.format, this->settings.vm, record);
-    const std::string time = stamp_text(this->clock.wall());
+    const std::string time = format_timestamp(this->clock.wall());
     std::string line;
     if (this->settings.format == line_format::json)
         line = "{\"time\":" + time + ',' + event + "}\n";
     else
         line = time + ' ' + event + '\n';
-    if (!this->put(line))
-        ++this->missing.not_taken;
+    if (!this->try_write(line))
+        ++this->dropped.not_taken;
 }
 
-bool pipe_event_sink::put(std::string_view line) const
+bool pipe_event_sink::try_write(std::string_view line) const
 {
-    if (line.size() > longest_line)
+    if (line.size() > max_line_bytes)
         return false;
     pollfd ready{this->settings.descriptor, POLLOUT, 0};
     if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0)
--- a/src/adapters/events/pipe_event_sink.hpp
+++ b/src/adapters/events/pipe_event_sink.hpp
@@ -12,12 +12,12 @@
 namespace roseworks::events
 {
 
-/** Writes events to an open pipe or file, one line each, and never waits.
+/** Writes events to an open pipe or file, one line each, without blocking.
 
-    A line that the reader doesn't take at once, or that is over the limit of
-    lines a second, is left out and counted; its owner reports the counts.
-    Of events that went well only a part is kept, so that those that failed
-    find room. Thread-safe.
+    A line is dropped and counted if the pipe cannot accept it at once or if it
+    exceeds the limit of lines per second; the sink's owner reports the counts.
+    Events of successful requests have a lower limit of their own, which leaves
+    room for events of failures. Thread-safe.
 */
 class pipe_event_sink final : public event_sink
 {
@@ -29,7 +29,7 @@
         line_format format = line_format::json;
         int descriptor = 1;
         std::uint32_t lines_per_second = 400;
-        /// Of `request_served`, which says that nothing was wrong.
+        /// The limit for `request_served`, the event of a successful request.
         std::uint32_t served_per_second = 40;
     };
 
@@ -37,28 +37,30 @@
 
     void emit(const event_record& record) noexcept override;
 
-    /// Lines that were not written.
+    /// Counts of lines that were not written.
     struct left_out
     {
-        std::uint64_t over_limit = 0;
-        std::uint64_t not_taken = 0;
+        std::uint64_t over_limit = 0; ///< exceeded a limit of lines per second
+        std::uint64_t not_taken = 0;  ///< the pipe could not accept them
     };
 
-    /// @return The lines left out since the last call.
+    /// @return The counts since the previous call.
     left_out take_left_out();
 
 private:
-    bool admitted(event_id id, instant now);
+    /// @return Whether the limits allow one more line; counts it either way.
+    bool admit(event_id id, instant now);
     void write(const event_record& record);
-    bool put(std::string_view line) const;
+    /// @return Whether the whole line was written without blocking.
+    bool try_write(std::string_view line) const;
 
     options settings;
     const clock_port& clock;
     std::mutex mutex;
     std::int64_t second = 0;
     std::uint32_t lines = 0;
-    std::uint32_t served = 0;
-    left_out missing;
+    std::uint32_t served_lines = 0;
+    left_out dropped;
 };
 
 } // namespace roseworks::events
--- a/src/adapters/events/reference/main.cpp
+++ b/src/adapters/events/reference/main.cpp
@@ -1,4 +1,4 @@
-// Prints the catalogue of events, docs/EVENTS.md.
+// Prints the event catalogue, the contents of docs/EVENTS.md.
 
 #include "adapters/events/event_catalogue.hpp"
 
--- a/src/adapters/metrics/counter.hpp
+++ b/src/adapters/metrics/counter.hpp
@@ -11,7 +11,7 @@
 namespace roseworks::metrics
 {
 
-/// A count that only grows, one for each combination of labels. Thread-safe
+/// A monotonically increasing count for each combination of labels. Thread-safe
 /// and lock-free.
 template <typename... Labels>
 class counter final : public metric
@@ -19,20 +19,20 @@
 public:
     using metric::metric;
 
-    /// Adds one to a combination.
+    /// Adds one to the count of a combination.
     void increment(Labels... labels)
     {
         this->add(1, labels...);
     }
 
-    /// Adds an amount to a combination.
+    /// Adds an amount to the count of a combination.
     void add(std::uint64_t amount, Labels... labels)
     {
         this->cells[label_set<Labels...>::index(labels...)].fetch_add(
             amount, std::memory_order_relaxed);
     }
 
-    /// @return the present count of a combination.
+    /// @return the current count of a combination.
     std::uint64_t value(Labels... labels) const
     {
         return this->cells[label_set<Labels...>::index(labels...)].load(
@@ -41,7 +41,7 @@
 
     void write(std::ostream& out) const override
     {
-        this->write_head(out, "counter");
+        this->write_header(out, "counter");
         for (std::size_t cell = 0; cell < this->cells.size(); ++cell)
         {
             this->write_series(out, label_set<Labels...>::text(cell));
--- a/src/adapters/metrics/gauge.hpp
+++ b/src/adapters/metrics/gauge.hpp
@@ -11,8 +11,8 @@
 namespace roseworks::metrics
 {
 
-/// A number that rises and falls, one for each combination of labels.
-/// Thread-safe and lock-free.
+/// A value that can go up and down, for each combination of labels. Thread-safe
+/// and lock-free.
 template <typename... Labels>
 class gauge final : public metric
 {
@@ -33,7 +33,7 @@
             amount, std::memory_order_relaxed);
     }
 
-    /// @return the present value of a combination.
+    /// @return the current value of a combination.
     std::int64_t value(Labels... labels) const
     {
         return this->cells[label_set<Labels...>::index(labels...)].load(
@@ -42,7 +42,7 @@
 
     void write(std::ostream& out) const override
     {
-        this->write_head(out, "gauge");
+        this->write_header(out, "gauge");
         for (std::size_t cell = 0; cell < this->cells.size(); ++cell)
         {
             this->write_series(out, label_set<Labels...>::text(cell));
--- a/src/adapters/metrics/label_set.hpp
+++ b/src/adapters/metrics/label_set.hpp
@@ -8,8 +8,8 @@
 namespace roseworks::metrics
 {
 
-/// Names a label and its values. Specialise it for an enum whose enumerators
-/// count from 0:
+/// Defines the name of a label and its values. Specialise it for an enum whose
+/// enumerators are numbered consecutively from 0:
 ///
 ///     template <>
 ///     struct label_traits<priority>
@@ -21,9 +21,9 @@
 template <typename Enum>
 struct label_traits;
 
-/// The Cartesian product of typed labels, as indices into a flat array. Labels
-/// are enums so that the number of series is fixed when the program is
-/// compiled; names from outside (models, callers) are never labels.
+/// Maps each combination of label values to an index into a flat array. Labels
+/// are enums so that the number of series is fixed at compile time; external
+/// names (models, callers) are never labels.
 template <typename... Labels>
 struct label_set
 {
@@ -41,7 +41,9 @@
         return result;
     }
 
-    /// @return `a="x",b="y"` of the combination; empty without labels.
+    /// @return the labels of a combination, such as `a="x",b="y"`; empty
+    /// without
+    ///         labels.
     static std::string text(std::size_t index)
     {
         std::array<std::size_t, sizeof...(Labels)> positions{};
--- a/src/adapters/metrics/latency.hpp
+++ b/src/adapters/metrics/latency.hpp
@@ -17,13 +17,14 @@
 namespace detail
 {
 
-/// Writes the cumulative buckets, the sum and the count of one series. Every
-/// tenth bin edge becomes a bucket, so that a scrape stays small.
+/// Writes the cumulative buckets, the sum and the count of one series. Only
+/// every tenth bin edge becomes a bucket, which keeps scrapes small.
 class bucket_writer
 {
 public:
     /// @param metric_name the metric's name without suffix.
-    /// @param label_text  the series' labels, as `label_set::text` gives them.
+    /// @param label_text  the labels of the series, in the form of
+    ///                    `label_set::text`.
     bucket_writer(std::string_view metric_name, std::string_view label_text);
 
     void write(std::ostream& out, const latency_histogram& histogram) const;
@@ -52,7 +53,7 @@
 public:
     using metric::metric;
 
-    /// Counts one latency of a combination.
+    /// Records one latency for a combination.
     void record(std::chrono::nanoseconds value, Labels... labels)
     {
         this->cells[label_set<Labels...>::index(labels...)].record(value);
@@ -66,7 +67,7 @@
 
     void write(std::ostream& out) const override
     {
-        this->write_head(out, "histogram");
+        this->write_header(out, "histogram");
         for (std::size_t cell = 0; cell < this->cells.size(); ++cell)
         {
             detail::bucket_writer(
--- a/src/adapters/metrics/latency_histogram.cpp
+++ b/src/adapters/metrics/latency_histogram.cpp
@@ -18,9 +18,9 @@
 
 void latency_histogram::record(std::chrono::nanoseconds latency)
 {
-    const auto counted = std::max(latency, std::chrono::nanoseconds::zero());
-    this->histogram(seconds_double(counted).count());
-    this->sum_ns.fetch_add(counted.count(), std::memory_order_relaxed);
+    const auto clamped = std::max(latency, std::chrono::nanoseconds::zero());
+    this->histogram(seconds_double(clamped).count());
+    this->sum_ns.fetch_add(clamped.count(), std::memory_order_relaxed);
 }
 
 std::optional<std::chrono::nanoseconds>
--- a/src/adapters/metrics/latency_histogram.hpp
+++ b/src/adapters/metrics/latency_histogram.hpp
@@ -17,9 +17,9 @@
 namespace roseworks::metrics
 {
 
-/// Latencies from 10 microseconds to 10 minutes in log-spaced bins, each 7.7 %
-/// wider than the one before. Fixed memory (about 2 KB). Any number of threads
-/// may record and read at once.
+/// A histogram of latencies from 10 microseconds to 10 minutes in logarithmic
+/// bins, each 7.7 % wider than the previous one. Uses a fixed amount of memory
+/// (about 2 KB). Any number of threads may record and read concurrently.
 class latency_histogram
 {
 public:
@@ -36,7 +36,7 @@
 
     latency_histogram();
 
-    /// Counts one latency. Negative ones count as zero.
+    /// Records one latency. A negative latency counts as zero.
     void record(std::chrono::nanoseconds latency);
 
     /// @param percent from 0 to 100.
@@ -49,7 +49,7 @@
     /// @return the sum of the recorded latencies.
     std::chrono::nanoseconds sum() const;
 
-    /// The bins, in seconds, for exposition and export.
+    /// @return the bins, in seconds, for exposition and export.
     const histogram_type& bins() const
     {
         return this->histogram;
--- a/src/adapters/metrics/metric.cpp
+++ b/src/adapters/metrics/metric.cpp
@@ -11,17 +11,17 @@
 {
 }
 
-void metric::write_head(std::ostream& out, std::string_view type) const
+void metric::write_header(std::ostream& out, std::string_view type) const
 {
     out << "# HELP " << this->full_name << ' ';
-    for (const char letter : this->help)
+    for (const char character : this->help)
     {
-        if (letter == '\\')
+        if (character == '\\')
             out << "\\\\";
-        else if (letter == '\n')
+        else if (character == '\n')
             out << "\\n";
         else
-            out << letter;
+            out << character;
     }
     out << "\n# TYPE " << this->full_name << ' ' << type << '\n';
 }
--- a/src/adapters/metrics/metric.hpp
+++ b/src/adapters/metrics/metric.hpp
@@ -26,8 +26,8 @@
     }
 
 protected:
-    /// Writes the two comment lines; `type` is a Prometheus type.
-    void write_head(std::ostream& out, std::string_view type) const;
+    /// Writes the `HELP` and `TYPE` lines; `type` is a Prometheus type.
+    void write_header(std::ostream& out, std::string_view type) const;
 
     /// Writes `name{labels} `, without braces when there are no labels.
     void write_series(std::ostream& out, std::string_view labels) const;
--- a/src/adapters/metrics/metrics_registry.cpp
+++ b/src/adapters/metrics/metrics_registry.cpp
@@ -15,7 +15,7 @@
         each->write(out);
 }
 
-void metrics_registry::keep(std::unique_ptr<metric> added)
+void metrics_registry::register_metric(std::unique_ptr<metric> added)
 {
     const std::lock_guard lock(this->mutex);
     const auto same_name = [&added](const std::unique_ptr<metric>& other)
--- a/src/adapters/metrics/metrics_registry.hpp
+++ b/src/adapters/metrics/metrics_registry.hpp
@@ -15,8 +15,8 @@
 {
 
 /// Owns the metrics of a process and writes them for Prometheus. Metrics are
-/// added while the process is composed and live as long as the registry; any
-/// thread may then change them and any thread may write them out.
+/// added at startup and live as long as the registry. After that any thread may
+/// update them or write them out.
 ///
 ///     auto& requests = registry.add_counter<priority, outcome>(
 ///         "roseworks_requests_total", "Requests by priority and outcome.");
@@ -34,14 +34,14 @@
         return this->add<counter<Labels...>>(name, help);
     }
 
-    /// As `add_counter`, for a number that rises and falls.
+    /// Like `add_counter`, for a value that can go up and down.
     template <typename... Labels>
     gauge<Labels...>& add_gauge(std::string_view name, std::string_view help)
     {
         return this->add<gauge<Labels...>>(name, help);
     }
 
-    /// As `add_counter`, for latencies; the name should end in `_seconds`.
+    /// Like `add_counter`, for latencies; the name should end in `_seconds`.
     template <typename... Labels>
     latency<Labels...>&
     add_latency(std::string_view name, std::string_view help)
@@ -59,11 +59,11 @@
     {
         auto owned = std::make_unique<Metric>(name, help);
         Metric& result = *owned;
-        this->keep(std::move(owned));
+        this->register_metric(std::move(owned));
         return result;
     }
 
-    void keep(std::unique_ptr<metric> added);
+    void register_metric(std::unique_ptr<metric> added);
 
     mutable std::mutex mutex;
     std::vector<std::unique_ptr<metric>> metrics;
--- a/src/adapters/metrics/percentile.hpp
+++ b/src/adapters/metrics/percentile.hpp
@@ -8,7 +8,8 @@
 namespace detail
 {
 
-/// @return a bin's content, whether it is a plain number or an accumulator.
+/// @return the count in a bin, which is either a plain number or an
+/// accumulator.
 template <typename Cell>
 double bin_content(const Cell& cell)
 {
@@ -21,13 +22,13 @@
 } // namespace detail
 
 /// Estimates a percentile of a one-dimensional Boost.Histogram with a regular
-/// axis (a logarithmic one too), interpolating inside the bin on the axis's
-/// own scale. The error is at most one bin. A percentile that falls into the
-/// under- or overflow bin gives the axis's lower or upper end. May run beside
-/// fills when the storage is thread-safe; it then counts each bin as it meets
-/// it.
+/// axis, with or without a logarithmic transform. It interpolates within a bin
+/// on the scale of the axis, so the error is at most one bin. For a percentile
+/// in the underflow or overflow bin it returns the lower or upper end of the
+/// axis. If the storage is thread-safe, it may run while samples are added; it
+/// then reads each bin at a slightly different time.
 /// @param histogram the samples.
-/// @param percent   from 0 to 100; values outside are held at the ends.
+/// @param percent   from 0 to 100; values outside this range are clamped.
 /// @return the value in the axis's unit; empty when there are no samples.
 template <typename Histogram>
 std::optional<double> percentile(const Histogram& histogram, double percent)
@@ -45,17 +46,17 @@
     if (total == 0)
         return std::nullopt;
 
-    const double share = percent < 0 ? 0 : percent > 100 ? 1 : percent / 100;
-    const double rank = share * total;
-    double below = count_at(-1);
-    if (below > 0 && rank <= below)
+    const double fraction = percent < 0 ? 0 : percent > 100 ? 1 : percent / 100;
+    const double rank = fraction * total;
+    double cumulative = count_at(-1);
+    if (cumulative > 0 && rank <= cumulative)
         return axis.value(0);
     for (int bin = 0; bin < size; ++bin)
     {
         const double count = count_at(bin);
-        if (count > 0 && rank <= below + count)
-            return axis.value(bin + (rank - below) / count);
-        below += count;
+        if (count > 0 && rank <= cumulative + count)
+            return axis.value(bin + (rank - cumulative) / count);
+        cumulative += count;
     }
     return axis.value(size);
 }
--- a/src/adapters/settings/gateway_settings.hpp
+++ b/src/adapters/settings/gateway_settings.hpp
@@ -9,7 +9,7 @@
 namespace roseworks::settings
 {
 
-/// What the gateway's settings file says.
+/// The contents of the gateway's settings file.
 struct gateway_settings
 {
     using milliseconds = std::chrono::milliseconds;
@@ -19,9 +19,10 @@
     {
         std::string name;
         std::string data_centre;
-        double cores = 0.25;      ///< of a core, that the VM may use
-        double link_mbps = 100;   ///< of its network link
-        bool first_start = false; ///< the whole deployment starts just now
+        double cores = 0.25;      ///< processor cores that the VM may use
+        double link_mbps = 100;   ///< rate of its network link in Mbit/s
+        bool first_start = false; ///< the whole deployment starts for the first
+                                  ///< time
     } vm;
 
     struct
@@ -35,26 +36,32 @@
     struct
     {
         socket_address address;
-        milliseconds shortest_term{1000}; ///< that a group member may have
+        milliseconds shortest_term{1000}; ///< shortest term of a group member
     } store;
 
     struct
     {
-        milliseconds grace{8000};   ///< from SIGTERM to SIGKILL
-        milliseconds leaving{2000}; ///< until a leaving server gets no more
-        /// Until a new configuration is in force.
+        milliseconds grace{8000}; ///< from SIGTERM to SIGKILL
+        /// From a server's announcement that it leaves until it must receive
+        /// no new requests.
+        milliseconds leaving{2000};
+        /// Until a new configuration must be in force everywhere.
         milliseconds configuration{2000};
-        milliseconds lease{3000};    ///< between orders of two holders in turn
-        bool fences_checked = false; ///< engines refuse old fencing numbers
-        double retry_ratio = 0.2;    ///< retries for each request of a service
+        /// Minimum time between orders of successive owners to an engine.
+        milliseconds lease{3000};
+        bool fences_checked = false; ///< engines refuse old fencing tokens
+        double retry_ratio = 0.2;    ///< retries per request of a service
         milliseconds retry_window{10'000};
-        double retry_extra = 50; ///< retries beside them, of all routers
+        /// Retries of all routers together in a window, besides `retry_ratio`.
+        double retry_extra = 50;
         milliseconds load_window{5000};
-        double load_factor = 1.1; ///< over the store's rate within a window
-        /// In which an organisation's use is summed up over all routers.
+        /// Multiple of the weight store's rate allowed within a window.
+        double load_factor = 1.1;
+        /// The window over which an organisation's use is summed across all
+        /// routers.
         milliseconds limit_window{8000};
-        double limit_excess = 0.1; ///< of a limit, beyond it
-        double limit_slack = 0;    ///< beside that, in the limit's unit
+        double limit_excess = 0.1; ///< allowed excess as a fraction of a limit
+        double limit_slack = 0;    ///< further excess, in the limit's unit
     } bounds;
 
     struct
--- a/src/adapters/settings/ini_reader.cpp
+++ b/src/adapters/settings/ini_reader.cpp
@@ -15,7 +15,7 @@
 
 namespace property_tree = boost::property_tree;
 
-/// Reads one text line at a time into an `ini_text`.
+/// Parses one line at a time into an `ini_text`.
 class line_reader
 {
 public:
@@ -38,7 +38,7 @@
 private:
     void read_section(const std::string& text)
     {
-        // The reader drops a section without keys, hence the key.
+        // Boost's parser drops a section without keys, so add one.
         const auto tree = this->parse(text + "\nkey=");
         if (!tree)
         {
@@ -51,7 +51,7 @@
 
         const auto end = text.find_last_not_of(" \t\r");
         if (text[end] != ']')
-            this->fault("text after the section's ']'");
+            this->report_problem("unexpected text after the section's ']'");
     }
 
     void read_entry(const std::string& text)
@@ -59,7 +59,7 @@
         const auto tree = this->parse(text);
         if (!tree || tree->empty())
             return;
-        // The section's own line has been reported.
+        // The section's line has already been reported as a problem.
         if (!this->section_is_readable)
             return;
         const auto& [key, value] = tree->front();
@@ -77,13 +77,13 @@
         }
         catch (const property_tree::ini_parser_error& error)
         {
-            this->fault(error.message());
+            this->report_problem(error.message());
             return std::nullopt;
         }
         return tree;
     }
 
-    void fault(std::string reason)
+    void report_problem(std::string reason)
     {
         this->out.problems.push_back(
             {std::string(this->file),
--- a/src/adapters/settings/ini_reader.hpp
+++ b/src/adapters/settings/ini_reader.hpp
@@ -25,7 +25,8 @@
     std::string name;
 };
 
-/// The lines of an INI text, with those that could not be read as problems.
+/// The parsed lines of an INI text, and a problem for each line that could not
+/// be parsed.
 struct ini_text
 {
     std::vector<ini_section> sections;
@@ -33,12 +34,11 @@
     std::vector<settings_problem> problems;
 };
 
-/// Reads an INI text line by line with Boost.PropertyTree's reader. That
-/// reader forgets line numbers and stops at the first fault; given one line at
-/// a time it keeps the grammar, and every fault is found with its line.
-/// Duplicates are not looked for.
+/// Parses an INI text with Boost.PropertyTree, one line at a time. Its parser
+/// does not keep line numbers and stops at the first error; parsing each line
+/// separately reports every error with its line. Duplicates are not detected.
 /// @param text the whole text.
-/// @param file the name in problems.
+/// @param file the file name to use in problems.
 ini_text read_ini(std::string_view text, std::string_view file);
 
 } // namespace roseworks::settings
--- a/src/adapters/settings/load_gateway_settings.cpp
+++ b/src/adapters/settings/load_gateway_settings.cpp
@@ -18,12 +18,12 @@
 namespace
 {
 
-constexpr std::string_view yes_no[] = {"false", "true"};
-constexpr std::int64_t most_ms = 3'600'000;
-constexpr std::int64_t most_port = 65'535;
+constexpr std::string_view bool_words[] = {"false", "true"};
+constexpr std::int64_t max_ms = 3'600'000;
+constexpr std::int64_t max_port = 65'535;
 
-/// Puts a value in its place.
-/// @return Whether it makes sense there.
+/// Stores a parsed value in its member of the settings.
+/// @return Whether the member accepts the value.
 using store_value = bool (*)(gateway_settings&, const setting_value&);
 
 struct gateway_row
@@ -33,57 +33,59 @@
 };
 
 template <auto Section, auto Member>
-bool put(gateway_settings& into, const setting_value& value)
+bool store_member(gateway_settings& settings, const setting_value& value)
 {
-    auto& place = (into.*Section).*Member;
-    using kind = std::remove_reference_t<decltype(place)>;
-    if constexpr (std::is_same_v<kind, std::string>)
-        place = std::get<std::string>(value);
-    else if constexpr (std::is_same_v<kind, socket_address>)
-        place = std::get<socket_address>(value);
-    else if constexpr (std::is_same_v<kind, std::chrono::milliseconds>)
-        place = std::chrono::milliseconds(std::get<std::int64_t>(value));
-    else if constexpr (std::is_same_v<kind, bool>)
-        place = std::get<std::int64_t>(value) != 0;
+    auto& member = (settings.*Section).*Member;
+    using member_type = std::remove_reference_t<decltype(member)>;
+    if constexpr (std::is_same_v<member_type, std::string>)
+        member = std::get<std::string>(value);
+    else if constexpr (std::is_same_v<member_type, socket_address>)
+        member = std::get<socket_address>(value);
+    else if constexpr (std::is_same_v<member_type, std::chrono::milliseconds>)
+        member = std::chrono::milliseconds(std::get<std::int64_t>(value));
+    else if constexpr (std::is_same_v<member_type, bool>)
+        member = std::get<std::int64_t>(value) != 0;
     else
-        place = static_cast<kind>(std::get<std::int64_t>(value));
+        member = static_cast<member_type>(std::get<std::int64_t>(value));
     return true;
 }
 
-/// @return A fraction, which the file's grammar has as a name; empty when it
-///         isn't one from 0 on.
-std::optional<double> fraction_of(const setting_value& value)
+/// Parses a decimal fraction. The value parser has no kind for fractions, so
+/// they are read as names.
+/// @return The number; empty if the text is not a non-negative number.
+std::optional<double> parse_fraction(const setting_value& value)
 {
-    constexpr double most = 1e9;
+    constexpr double max_value = 1e9;
     const std::string& text = std::get<std::string>(value);
     double number = 0;
     const auto [end, error] =
         std::from_chars(text.data(), text.data() + text.size(), number);
-    const bool whole = error == std::errc() && end == text.data() + text.size();
-    if (!whole || number < 0 || number > most)
+    const bool fully_parsed =
+        error == std::errc() && end == text.data() + text.size();
+    if (!fully_parsed || number < 0 || number > max_value)
         return std::nullopt;
     return number;
 }
 
-/// Seconds or a fraction in the file, milliseconds in the settings.
+/// Stores a duration that the file gives in seconds, possibly with decimals.
 template <auto Section, auto Member>
-bool put_seconds(gateway_settings& into, const setting_value& value)
+bool store_seconds(gateway_settings& settings, const setting_value& value)
 {
     constexpr double ms_per_second = 1000;
-    const auto seconds = fraction_of(value);
+    const auto seconds = parse_fraction(value);
     if (!seconds)
         return false;
-    (into.*Section).*Member = std::chrono::milliseconds(
+    (settings.*Section).*Member = std::chrono::milliseconds(
         static_cast<std::int64_t>(*seconds * ms_per_second));
     return true;
 }
 
 template <auto Section, auto Member>
-bool put_fraction(gateway_settings& into, const setting_value& value)
+bool store_fraction(gateway_settings& settings, const setting_value& value)
 {
-    const auto number = fraction_of(value);
+    const auto number = parse_fraction(value);
     if (number)
-        (into.*Section).*Member = *number;
+        (settings.*Section).*Member = *number;
     return number.has_value();
 }
 
@@ -106,22 +108,32 @@
 row(std::string_view section,
     std::string_view key,
     value_kind kind,
-    std::optional<std::string_view> fallback,
+    std::optional<std::string_view> default_value,
     std::int64_t min,
     std::int64_t max,
     std::string_view unit,
     std::string_view text,
     std::span<const std::string_view> words = {})
 {
-    return {section, key, kind, fallback, min, max, unit, words, text, nullptr};
+    return {
+        section,
+        key,
+        kind,
+        default_value,
+        min,
+        max,
+        unit,
+        words,
+        text,
+        nullptr};
 }
 
-std::vector<gateway_row> make_rows()
+std::vector<gateway_row> make_settings_rows()
 {
     using enum value_kind;
     return {
         {row("vm", "name", name, std::nullopt, 0, 0, "", "Name of this VM."),
-         &put<vm, &vm_section::name>},
+         &store_member<vm, &vm_section::name>},
         {row("vm",
              "data_centre",
              name,
@@ -129,8 +141,8 @@
              0,
              0,
              "",
-             "Its data centre; servers there are preferred."),
-         &put<vm, &vm_section::data_centre>},
+             "The VM's data centre; servers in it are preferred."),
+         &store_member<vm, &vm_section::data_centre>},
         {row("vm",
              "cores",
              name,
@@ -138,8 +150,9 @@
              0,
              0,
              "cores",
-             "What the VM may use; stronger ones apply to own placement."),
-         &put_fraction<vm, &vm_section::cores>},
+             "Processor cores that the VM may use; VMs with more cores are "
+             "preferred as the owner of placement."),
+         &store_fraction<vm, &vm_section::cores>},
         {row("vm",
              "link_mbps",
              name,
@@ -147,8 +160,8 @@
              0,
              0,
              "Mbit/s",
-             "The VM's network link."),
-         &put_fraction<vm, &vm_section::link_mbps>},
+             "Rate of the VM's network link."),
+         &store_fraction<vm, &vm_section::link_mbps>},
         {row("vm",
              "first_start",
              word,
@@ -156,64 +169,66 @@
              0,
              0,
              "",
-             "Whether the whole deployment starts just now: nobody has ordered "
-             "an engine.",
-             yes_no),
-         &put<vm, &vm_section::first_start>},
+             "Whether the whole deployment is starting for the first time, "
+             "so that no engine has received an order yet.",
+             bool_words),
+         &store_member<vm, &vm_section::first_start>},
         {row("listen",
              "requests",
              address,
              std::nullopt,
              0,
-             most_port,
+             max_port,
              "",
-             "Where callers connect."),
-         &put<listen, &listen_section::requests>},
+             "Address for callers."),
+         &store_member<listen, &listen_section::requests>},
         {row("listen",
              "readiness",
              address,
              std::nullopt,
              0,
-             most_port,
+             max_port,
              "",
-             "Where the load balancer asks whether to send callers."),
-         &put<listen, &listen_section::readiness>},
+             "Address where the load balancer checks whether this VM "
+             "accepts callers."),
+         &store_member<listen, &listen_section::readiness>},
         {row("listen",
              "peers",
              address,
              std::nullopt,
              0,
-             most_port,
+             max_port,
              "",
-             "UDP and TCP, for the other routers."),
-         &put<listen, &listen_section::peers>},
+             "UDP and TCP address for the other routers."),
+         &store_member<listen, &listen_section::peers>},
         {row("listen",
              "metrics",
              address,
              std::nullopt,
              0,
-             most_port,
+             max_port,
              "",
-             "Metrics as Prometheus text at /metrics."),
-         &put<listen, &listen_section::metrics>},
+             "Address that serves metrics in the Prometheus text format at "
+             "/metrics."),
+         &store_member<listen, &listen_section::metrics>},
         {row("store",
              "address",
              address,
              std::nullopt,
              1,
-             most_port,
+             max_port,
              "",
-             "The platform's store."),
-         &put<store, &store_section::address>},
+             "Address of the platform's store."),
+         &store_member<store, &store_section::address>},
         {row("store",
              "shortest_term_ms",
              integer,
              "1000",
              1,
-             most_ms,
+             max_ms,
              "ms",
-             "The shortest term of a group's member."),
-         &put<store, &store_section::shortest_term>},
+             "The shortest term that a member of a group may have."),
+         &store_member<store, &store_section::shortest_term>},
         {row("bounds",
              "grace_s",
              name,
@@ -221,36 +236,38 @@
              0,
              0,
              "s",
-             "From SIGTERM until the process is killed."),
-         &put_seconds<bounds, &bounds_section::grace>},
+             "Time from SIGTERM until the process is killed."),
+         &store_seconds<bounds, &bounds_section::grace>},
         {row("bounds",
              "leaving_ms",
              integer,
              "2000",
              1,
-             most_ms,
+             max_ms,
              "ms",
-             "A server that leaves gets nothing new so long after it said so."),
-         &put<bounds, &bounds_section::leaving>},
+             "Time after a server announces that it is leaving until it "
+             "must receive no new requests."),
+         &store_member<bounds, &bounds_section::leaving>},
         {row("bounds",
              "configuration_ms",
              integer,
              "2000",
              1,
-             most_ms,
+             max_ms,
              "ms",
-             "A new configuration is in force everywhere within so long."),
-         &put<bounds, &bounds_section::configuration>},
+             "Time within which a new configuration must be in force "
+             "everywhere."),
+         &store_member<bounds, &bounds_section::configuration>},
         {row("bounds",
              "lease_ms",
              integer,
              "3000",
              0,
-             most_ms,
+             max_ms,
              "ms",
-             "An owner that regains an engine waits so long from its own last "
-             "order to it."),
-         &put<bounds, &bounds_section::lease>},
+             "Time that an owner which regains an engine waits after its "
+             "own last order to that engine."),
+         &store_member<bounds, &bounds_section::lease>},
         {row("bounds",
              "fences_checked",
              word,
@@ -259,8 +276,8 @@
              0,
              "",
              "Whether engines refuse orders with an old fencing number.",
-             yes_no),
-         &put<bounds, &bounds_section::fences_checked>},
+             bool_words),
+         &store_member<bounds, &bounds_section::fences_checked>},
         {row("bounds",
              "retry_ratio",
              name,
@@ -268,8 +285,9 @@
              0,
              0,
              "retries/request",
-             "Of all routers together, for one service, in a window."),
-         &put_fraction<bounds, &bounds_section::retry_ratio>},
+             "Retries per request that all routers together may make for "
+             "one service in a window."),
+         &store_fraction<bounds, &bounds_section::retry_ratio>},
         {row("bounds",
              "retry_window_s",
              name,
@@ -278,7 +296,7 @@
              0,
              "s",
              "The window of retry_ratio."),
-         &put_seconds<bounds, &bounds_section::retry_window>},
+         &store_seconds<bounds, &bounds_section::retry_window>},
         {row("bounds",
              "retry_extra",
              name,
@@ -286,8 +304,8 @@
              0,
              0,
              "retries",
-             "Allowed in a window beside retry_ratio."),
-         &put_fraction<bounds, &bounds_section::retry_extra>},
+             "Retries allowed in a window in addition to retry_ratio."),
+         &store_fraction<bounds, &bounds_section::retry_extra>},
         {row("bounds",
              "load_window_s",
              name,
@@ -296,7 +314,7 @@
              0,
              "s",
              "The window of the weight store's rate."),
-         &put_seconds<bounds, &bounds_section::load_window>},
+         &store_seconds<bounds, &bounds_section::load_window>},
         {row("bounds",
              "load_factor",
              name,
@@ -304,8 +322,9 @@
              0,
              0,
              "",
-             "Times the weight store's rate that may begin in a window."),
-         &put_fraction<bounds, &bounds_section::load_factor>},
+             "Multiple of the weight store's rate at which loads may begin "
+             "within a window."),
+         &store_fraction<bounds, &bounds_section::load_factor>},
         {row("bounds",
              "limit_window_s",
              name,
@@ -313,8 +332,9 @@
              0,
              0,
              "s",
-             "In which an organisation's use is summed up over all routers."),
-         &put_seconds<bounds, &bounds_section::limit_window>},
+             "The window over which an organisation's use is summed across "
+             "all routers."),
+         &store_seconds<bounds, &bounds_section::limit_window>},
         {row("bounds",
              "limit_excess",
              name,
@@ -322,8 +342,9 @@
              0,
              0,
              "",
-             "Part of an organisation's limit that may be used beyond it."),
-         &put_fraction<bounds, &bounds_section::limit_excess>},
+             "Fraction of an organisation's limit that may be used in "
+             "excess of it."),
+         &store_fraction<bounds, &bounds_section::limit_excess>},
         {row("bounds",
              "limit_slack",
              name,
@@ -331,8 +352,8 @@
              0,
              0,
              "tokens",
-             "Allowed in a window beside limit_excess."),
-         &put_fraction<bounds, &bounds_section::limit_slack>},
+             "Tokens allowed in a window in addition to limit_excess."),
+         &store_fraction<bounds, &bounds_section::limit_slack>},
         {row("log",
              "lines_per_second",
              integer,
@@ -340,8 +361,9 @@
              1,
              1'000'000,
              "lines/s",
-             "More are left out and counted."),
-         &put<log, &log_section::lines_per_second>},
+             "Maximum number of log lines per second; more are dropped and "
+             "counted."),
+         &store_member<log, &log_section::lines_per_second>},
         {row("log",
              "served_per_second",
              integer,
@@ -349,14 +371,15 @@
              0,
              1'000'000,
              "lines/s",
-             "Of requests that were served at once."),
-         &put<log, &log_section::served_per_second>},
+             "Maximum number of log lines per second for requests served "
+             "on the first attempt."),
+         &store_member<log, &log_section::served_per_second>},
     };
 }
 
 const std::vector<gateway_row>& rows()
 {
-    static const std::vector<gateway_row> all = make_rows();
+    static const std::vector<gateway_row> all = make_settings_rows();
     return all;
 }
 
@@ -364,25 +387,28 @@
 {
     const auto found = std::ranges::find_if(
         rows(),
-        [&](const gateway_row& one)
+        [&](const gateway_row& setting)
         {
-            return one.row.section == section && one.row.key == key;
+            return setting.row.section == section && setting.row.key == key;
         });
     return found == rows().end() ? nullptr : &*found;
 }
 
-/// Reads one value and puts it in its place.
-/// @return What is wrong; empty when nothing is.
-std::string
-take(gateway_settings& into, const gateway_row& one, std::string_view text)
+/// Parses one value and stores it in the settings.
+/// @return The problem; empty if there is none.
+std::string read_value(
+    gateway_settings& settings,
+    const gateway_row& setting,
+    std::string_view text)
 {
-    // A value that the deployment doesn't know is left empty.
-    if (text.empty() && one.row.fallback)
-        text = *one.row.fallback;
-    parsed_value value = parse_value(one.row, text);
+    // A deployment leaves a value empty if it does not define it.
+    if (text.empty() && setting.row.default_value)
+        text = *setting.row.default_value;
+    parsed_value value = parse_value(setting.row, text);
     if (!value.value)
         return value.reason;
-    return one.store(into, *value.value) ? "" : "not a number from 0 on";
+    return setting.store(settings, *value.value) ? ""
+                                                 : "not a non-negative number";
 }
 
 } // namespace
@@ -394,7 +420,7 @@
         std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>{});
     ini_text ini = read_ini(text, name);
     settings_problems problems{std::move(ini.problems)};
-    gateway_settings made;
+    gateway_settings settings;
     std::set<std::pair<std::string, std::string>> seen;
     const auto report =
         [&](const ini_entry& entry, std::string reason, std::string allowed)
@@ -409,32 +435,34 @@
     };
     for (const ini_entry& entry : ini.entries)
     {
-        const gateway_row* one = find(entry.section, entry.key);
-        if (one == nullptr)
+        const gateway_row* setting = find(entry.section, entry.key);
+        if (setting == nullptr)
             report(entry, "unknown key", "");
         else if (!seen.emplace(entry.section, entry.key).second)
-            report(entry, "given twice", "");
-        else if (std::string fault = take(made, *one, entry.value);
+            report(entry, "duplicate key", "");
+        else if (std::string fault =
+                     read_value(settings, *setting, entry.value);
                  !fault.empty())
-            report(entry, std::move(fault), describe_allowed(one->row));
+            report(entry, std::move(fault), describe_allowed(setting->row));
     }
-    for (const gateway_row& one : rows())
+    for (const gateway_row& setting : rows())
     {
         const std::pair<std::string, std::string> key(
-            one.row.section, one.row.key);
+            setting.row.section, setting.row.key);
         if (seen.contains(key))
             continue;
-        if (!one.row.fallback)
+        if (!setting.row.default_value)
             report(
                 {0, key.first, key.second, ""},
                 "missing",
-                describe_allowed(one.row));
+                describe_allowed(setting.row));
         else
-            static_cast<void>(take(made, one, *one.row.fallback));
+            static_cast<void>(
+                read_value(settings, setting, *setting.row.default_value));
     }
     if (!problems.all.empty())
         return boost::leaf::new_error(std::move(problems));
-    return made;
+    return settings;
 }
 
 boost::leaf::result<gateway_settings>
@@ -443,7 +471,7 @@
     std::ifstream file{std::string(path)};
     if (!file)
         return boost::leaf::new_error(settings_problems{
-            {{std::string(path), 0, "", "", "can't be read", ""}}});
+            {{std::string(path), 0, "", "", "cannot be opened", ""}}});
     return load_gateway_settings(file, path);
 }
 
@@ -459,12 +487,13 @@
                        "A key with a default may be left empty.\n\n"
                        "| section | key | allowed | default | meaning |\n"
                        "|---|---|---|---|---|\n";
-    for (const gateway_row& one : rows())
+    for (const gateway_row& setting : rows())
     {
-        text += "| `" + std::string(one.row.section) + "` | `" +
-                std::string(one.row.key) + "` | " + describe_allowed(one.row) +
-                " | " + std::string(one.row.fallback.value_or("required")) +
-                " | " + std::string(one.row.text) + " |\n";
+        text += "| `" + std::string(setting.row.section) + "` | `" +
+                std::string(setting.row.key) + "` | " +
+                describe_allowed(setting.row) + " | " +
+                std::string(setting.row.default_value.value_or("required")) +
+                " | " + std::string(setting.row.text) + " |\n";
     }
     return text;
 }
--- a/src/adapters/settings/load_router_settings.cpp
+++ b/src/adapters/settings/load_router_settings.cpp
@@ -19,9 +19,9 @@
 namespace
 {
 
-constexpr std::size_t largest_file = 1 << 20;
+constexpr std::size_t max_file_bytes = 1 << 20;
 
-/// Checks an INI text against the table and fills the settings.
+/// Checks an INI text against the settings table and fills in the settings.
 class settings_checker
 {
 public:
@@ -37,7 +37,7 @@
         this->check_sections();
         for (const ini_entry& entry : this->ini.entries)
             this->check_entry(entry);
-        this->fill_absent();
+        this->apply_defaults();
         this->check_rules();
         if (this->problems.empty())
             return std::move(this->settings);
@@ -49,7 +49,8 @@
     }
 
 private:
-    /// How a key of the table was met in the file.
+    /// Where a key of the table first occurs in the file, and whether all its
+    /// occurrences are valid.
     struct occurrence
     {
         int line;
@@ -81,20 +82,23 @@
     void check_sections()
     {
         std::map<std::string_view, int> first_lines;
-        for (const ini_section& each : this->ini.sections)
+        for (const ini_section& section : this->ini.sections)
         {
             const auto [first, added] =
-                first_lines.emplace(each.name, each.line);
+                first_lines.emplace(section.name, section.line);
             if (!added)
             {
                 this->report(
-                    each.line, each.name, "", seen_before(first->second));
+                    section.line,
+                    section.name,
+                    "",
+                    describe_duplicate(first->second));
             }
-            else if (!is_section(each.name))
+            else if (!is_section(section.name))
             {
                 this->report(
-                    each.line,
-                    each.name,
+                    section.line,
+                    section.name,
                     "",
                     "unknown section",
                     known_sections());
@@ -106,10 +110,10 @@
     {
         if (entry.section.empty())
         {
-            this->report(entry.line, "", entry.key, "key outside of a section");
+            this->report(entry.line, "", entry.key, "key outside a section");
             return;
         }
-        // The section's own line has been reported.
+        // The section's line has already been reported as a problem.
         if (!is_section(entry.section))
             return;
         const setting_row* const row = find_row(entry.section, entry.key);
@@ -128,16 +132,16 @@
 
     void check_row(const setting_row& row, const ini_entry& entry)
     {
-        const auto [seen, added] =
+        const auto [found, added] =
             this->occurrences.emplace(&row, occurrence{entry.line, true});
         if (!added)
         {
-            seen->second.valid = false;
+            found->second.valid = false;
             this->report(
                 entry.line,
                 entry.section,
                 entry.key,
-                seen_before(seen->second.line));
+                describe_duplicate(found->second.line));
         }
         if (entry.value.empty() && row.may_be_empty())
             return;
@@ -148,7 +152,7 @@
             row.store(this->settings, *parsed.value);
             return;
         }
-        seen->second.valid = false;
+        found->second.valid = false;
         this->report(
             entry.line,
             entry.section,
@@ -157,13 +161,13 @@
             describe_allowed(row));
     }
 
-    void fill_absent()
+    void apply_defaults()
     {
         for (const setting_row& row : setting_rows())
         {
             if (this->occurrences.contains(&row) || row.may_be_empty())
                 continue;
-            if (!row.fallback)
+            if (!row.default_value)
             {
                 this->report(
                     0,
@@ -173,7 +177,7 @@
                     describe_allowed(row));
                 continue;
             }
-            const auto parsed = parse_value(row, *row.fallback);
+            const auto parsed = parse_value(row, *row.default_value);
             row.store(this->settings, parsed.value.value());
         }
     }
@@ -182,50 +186,51 @@
     {
         for (const setting_rule& rule : setting_rules())
         {
-            if (!this->are_valid(rule) || rule.holds(this->settings))
+            if (!this->keys_are_valid(rule) || rule.holds(this->settings))
                 continue;
-            const auto [key, line] = this->blamed(rule);
+            const auto [key, line] = this->locate_violation(rule);
             this->report(
                 line,
                 rule.section,
                 key,
-                "does not go with the other keys",
+                "conflicts with the other keys",
                 std::string(rule.text));
         }
     }
 
-    bool are_valid(const setting_rule& rule) const
+    bool keys_are_valid(const setting_rule& rule) const
     {
         return std::ranges::all_of(
             rule.keys,
             [this, &rule](std::string_view key)
             {
                 const auto* const row = find_row(rule.section, key);
-                const auto seen = this->occurrences.find(row);
-                return seen == this->occurrences.end() || seen->second.valid;
+                const auto found = this->occurrences.find(row);
+                return found == this->occurrences.end() || found->second.valid;
             });
     }
 
-    struct blamed_key
+    struct key_location
     {
         std::string_view key;
         int line;
     };
 
-    /// The rule's first key that the file has, or else its first key.
-    blamed_key blamed(const setting_rule& rule) const
+    /// @return the rule's first key that occurs in the file; if none does, the
+    ///         rule's first key with line 0.
+    key_location locate_violation(const setting_rule& rule) const
     {
         for (const std::string_view key : rule.keys)
         {
             const auto* const row = find_row(rule.section, key);
-            const auto seen = this->occurrences.find(row);
-            if (seen != this->occurrences.end())
-                return {key, seen->second.line};
+            const auto found = this->occurrences.find(row);
+            if (found != this->occurrences.end())
+                return {key, found->second.line};
         }
         return {rule.keys[0], 0};
     }
 
-    static std::string seen_before(int line)
+    static std::string describe_duplicate(int line)
     {
         return "duplicate, first on line " + std::to_string(line);
     }
@@ -233,8 +238,8 @@
     static std::string known_sections()
     {
         std::string names;
-        for (const section_row& each : setting_sections())
-            append_name(names, each.name);
+        for (const section_row& section : setting_sections())
+            append_name(names, section.name);
         return names;
     }
 
@@ -263,7 +268,7 @@
     router_settings settings;
 };
 
-boost::leaf::error_id refuse_file(std::string_view name, std::string reason)
+boost::leaf::error_id make_file_error(std::string_view name, std::string reason)
 {
     return boost::leaf::new_error(settings_problems{
         {{std::string(name), 0, "", "", std::move(reason), ""}}});
@@ -274,15 +279,15 @@
 boost::leaf::result<router_settings>
 load_router_settings(std::istream& in, std::string_view name)
 {
-    std::string text(largest_file + 1, '\0');
+    std::string text(max_file_bytes + 1, '\0');
     in.read(text.data(), static_cast<std::streamsize>(text.size()));
     if (in.bad())
-        return refuse_file(name, "cannot be read");
+        return make_file_error(name, "cannot be read");
     text.resize(static_cast<std::size_t>(in.gcount()));
-    if (text.size() > largest_file)
+    if (text.size() > max_file_bytes)
     {
-        return refuse_file(
-            name, "larger than " + std::to_string(largest_file) + " bytes");
+        return make_file_error(
+            name, "larger than " + std::to_string(max_file_bytes) + " bytes");
     }
     return settings_checker(name, read_ini(text, name)).check();
 }
@@ -291,7 +296,7 @@
 {
     std::ifstream in{std::string(path)};
     if (!in)
-        return refuse_file(path, "cannot be opened");
+        return make_file_error(path, "cannot be opened");
     return load_router_settings(in, path);
 }
 
--- a/src/adapters/settings/load_router_settings.hpp
+++ b/src/adapters/settings/load_router_settings.hpp
@@ -12,15 +12,15 @@
 {
 
 /// Reads and checks a router's settings file.
-/// @param path the INI file.
-/// @return the settings; or an error with a `settings_problems` that lists
-///         every problem of the file, not only the first.
+/// @param path the path of the INI file.
+/// @return the settings, or a `settings_problems` error that lists every
+///         problem of the file, not only the first.
 boost::leaf::result<router_settings>
 load_router_settings(std::string_view path);
 
-/// The same from a stream.
+/// Reads and checks a router's settings from a stream.
 /// @param in   the INI text.
-/// @param name what to call the stream in messages.
+/// @param name the name of the stream in messages.
 boost::leaf::result<router_settings>
 load_router_settings(std::istream& in, std::string_view name);
 
--- a/src/adapters/settings/operator_key_file.cpp
+++ b/src/adapters/settings/operator_key_file.cpp
@@ -14,9 +14,9 @@
 {
 
 constexpr std::string_view section = "keys";
-constexpr std::string_view allowed = "number 1 to 255 = 64 hex digits";
+constexpr std::string_view allowed = "number from 1 to 255 = 64 hex digits";
 
-boost::leaf::error_id refuse(settings_problem problem)
+boost::leaf::error_id make_error(settings_problem problem)
 {
     return boost::leaf::new_error(settings_problems{{std::move(problem)}});
 }
@@ -40,7 +40,7 @@
 {
     std::ifstream in(path);
     if (!in)
-        return refuse({path, 0, "", "", "cannot be opened", ""});
+        return make_error({path, 0, "", "", "cannot be opened", ""});
     const std::string text(std::istreambuf_iterator<char>(in), {});
     const ini_text ini = read_ini(text, path);
     if (!ini.problems.empty())
@@ -49,21 +49,22 @@
     for (const ini_entry& entry : ini.entries)
     {
         if (entry.section != section)
-            return refuse(problem_at(path, entry, "unknown section"));
+            return make_error(problem_at(path, entry, "unknown section"));
         const auto key = parse_operator_key(entry.key, entry.value);
         if (!key)
-            return refuse(problem_at(path, entry, "not an operators' key"));
+            return make_error(
+                problem_at(path, entry, "not a valid operator key"));
         if (std::ranges::count(keys, key->number, &operator_key::number) != 0)
-            return refuse(problem_at(path, entry, "number listed twice"));
+            return make_error(problem_at(path, entry, "duplicate key number"));
         keys.push_back(*key);
     }
     if (keys.empty())
-        return refuse(
+        return make_error(
             {path,
              0,
              std::string(section),
              "",
-             "no key is listed",
+             "contains no keys",
              std::string(allowed)});
     return keys;
 }
--- a/src/adapters/settings/operator_key_file.hpp
+++ b/src/adapters/settings/operator_key_file.hpp
@@ -10,12 +10,12 @@
 namespace roseworks::settings
 {
 
-/** Read the operators' public keys that a router expects: INI, section
-    `[keys]`, lines `number = <64 hex digits>`.
+/** Reads the operators' public keys that a router expects from an INI file. Its
+    section `[keys]` has lines `number = <64 hex digits>`.
 
-    @param path The file.
-    @return     At least one key, or `settings_problems` with file, line,
-                section and key.
+    @param path The path of the file.
+    @return     One or more keys, or a `settings_problems` error with file,
+                line, section and key.
 */
 boost::leaf::result<std::vector<operator_key>>
 load_operator_keys(const std::string& path);
--- a/src/adapters/settings/reference/main.cpp
+++ b/src/adapters/settings/reference/main.cpp
@@ -1,5 +1,5 @@
-// Prints the reference of the settings: docs/SETTINGS.md, or with the argument
-// `gateway` docs/SETTINGS-gateway.md.
+// Prints the settings reference: the contents of docs/SETTINGS.md, or of
+// docs/SETTINGS-gateway.md with the argument `gateway`.
 
 #include "adapters/settings/load_gateway_settings.hpp"
 #include "adapters/settings/write_reference.hpp"
--- a/src/adapters/settings/router_settings.hpp
+++ b/src/adapters/settings/router_settings.hpp
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-/// `[router]`: who this process is and where callers reach it.
+/// `[router]`: the identity of this process and its address for callers.
 struct router_section
 {
     std::string name;
@@ -25,7 +25,7 @@
     socket_address listen;
     std::uint32_t traffic_threads = 0;
     milliseconds drain_limit{};
-    /// Where the bound addresses are written; empty for nowhere.
+    /// The file to which the bound addresses are written. Empty: none.
     std::string address_file;
 };
 
@@ -53,14 +53,14 @@
     std::uint64_t checkpoint_records = 0;
 };
 
-/// `[vm_list]`: the platform's lagging list of VMs.
+/// `[vm_list]`: the platform's list of VMs, which may lag behind.
 struct vm_list_section
 {
     std::optional<socket_address> address;
     milliseconds poll{};
 };
 
-/// `[leases]`: the right to order an engine.
+/// `[leases]`: leases that permit sending orders to an engine.
 struct leases_section
 {
     milliseconds term{};
@@ -88,7 +88,7 @@
     std::uint32_t backend_connections_max_idle = 0;
 };
 
-/// `[engines]`: reading and ordering the model engines.
+/// `[engines]`: reading the state of engines and sending them orders.
 struct engines_section
 {
     milliseconds poll{};
@@ -97,7 +97,7 @@
     std::string credentials_file;
 };
 
-/// `[placement]`: when replicas come and go.
+/// `[placement]`: when replicas are loaded and unloaded.
 struct placement_section
 {
     placement_kind strategy = placement_kind::break_even;
@@ -105,7 +105,7 @@
     milliseconds demand_interval{};
 };
 
-/// `[grants]`: what may be loaded while the log is away.
+/// `[grants]`: the models that may be loaded while the log is unreachable.
 struct grants_section
 {
     std::uint32_t memory_mib = 0;
@@ -115,27 +115,27 @@
     milliseconds term{};
 };
 
-/// `[tls]`: the certificate shown to callers; both empty: plain HTTP.
+/// `[tls]`: the certificate presented to callers. Both empty: plain HTTP.
 struct tls_section
 {
     std::string certificate_file;
     std::string key_file;
 };
 
-/// `[backend_tls]` and `[platform_tls]`: how servers are reached.
+/// `[backend_tls]` and `[platform_tls]`: TLS of outgoing connections.
 struct outgoing_tls_section
 {
-    /// Empty: over plain HTTP.
+    /// Empty: plain HTTP.
     std::string ca_file;
-    /// Both empty: no certificate is shown.
+    /// Both empty: no certificate is presented.
     std::string certificate_file;
     std::string key_file;
 };
 
-/// `[operators]`: whose changes are expected.
+/// `[operators]`: the keys that are expected to sign operators' changes.
 struct operators_section
 {
-    /// Empty: the decided keys are compared with nothing.
+    /// Empty: the keys decided in the log are not compared with a file.
     std::string key_file;
 };
 
@@ -148,9 +148,9 @@
     std::string file;
 };
 
-/// Everything the router's settings file says, checked. The defaults of the
-/// keys are in settings_table.cpp, not here: a value-initialised struct is not
-/// a usable configuration, `load_router_settings` makes one.
+/// The checked contents of the router's settings file. The defaults of the keys
+/// are in settings_table.cpp, not here: a value-initialised struct is not a
+/// usable configuration. Use `load_router_settings` to create one.
 struct router_settings
 {
     router_section router;
--- a/src/adapters/settings/settings_problems.hpp
+++ b/src/adapters/settings/settings_problems.hpp
@@ -7,24 +7,23 @@
 namespace roseworks::settings
 {
 
-/// One thing wrong with a settings file.
+/// One problem of a settings file.
 struct settings_problem
 {
     std::string file;
-    /// Counted from 1; 0 when it belongs to no line (a missing key).
+    /// The line number from 1; 0 if the problem has no line (a missing key).
     int line = 0;
-    /// Empty when it belongs to no section.
+    /// Empty if the problem concerns no section.
     std::string section;
-    /// Empty when it belongs to no key.
+    /// Empty if the problem concerns no key.
     std::string key;
-    /// What is wrong.
     std::string reason;
-    /// What would be right: a range, the words, the known keys.
+    /// What is allowed instead: a range, a list of values, the known keys.
     std::string allowed;
 };
 
-/// Error object of `load_router_settings`: every problem of the file, by line;
-/// those without a line come last.
+/// LEAF error object of the functions that load settings: all problems of the
+/// file. `load_router_settings` sorts them by line, those without a line last.
 struct settings_problems
 {
     std::vector<settings_problem> all;
@@ -34,7 +33,7 @@
 /// 1000000 requests`.
 std::ostream& operator<<(std::ostream& out, const settings_problem& problem);
 
-/// Writes one problem a line.
+/// Writes one problem per line.
 std::ostream& operator<<(std::ostream& out, const settings_problems& problems);
 
 } // namespace roseworks::settings
--- a/src/adapters/settings/socket_address.cpp
+++ b/src/adapters/settings/socket_address.cpp
@@ -49,7 +49,7 @@
         host = host.substr(1, host.size() - 2);
         family = AF_INET6;
     }
-    // A zero byte would end the text early in inet_pton.
+    // inet_pton would stop at a zero byte and ignore the rest.
     if (host.find('\0') != std::string_view::npos)
         return std::nullopt;
     auto ip = canonical_ip(family, std::string(host));
@@ -60,8 +60,8 @@
 
 std::string socket_address::to_string() const
 {
-    const bool six = this->ip.find(':') != std::string::npos;
-    const std::string host = six ? '[' + this->ip + ']' : this->ip;
+    const bool is_ipv6 = this->ip.find(':') != std::string::npos;
+    const std::string host = is_ipv6 ? '[' + this->ip + ']' : this->ip;
     return host + ':' + std::to_string(this->port);
 }
 
--- a/src/adapters/settings/socket_address.hpp
+++ b/src/adapters/settings/socket_address.hpp
@@ -9,18 +9,18 @@
 namespace roseworks::settings
 {
 
-/// An IP number and a port. Never a host name.
+/// An IP address and a port. Host names are not supported.
 struct socket_address
 {
-    /// As `inet_ntop` writes it, without brackets.
+    /// The address as `inet_ntop` formats it, without brackets.
     std::string ip;
     std::uint16_t port = 0;
 
-    /// Reads `127.0.0.1:7000` or `[::1]:7000`.
-    /// @return empty when it is anything else, a host name included.
+    /// Parses text such as `127.0.0.1:7000` or `[::1]:7000`.
+    /// @return empty for anything else, including host names.
     static std::optional<socket_address> parse(std::string_view text);
 
-    /// @return the text that `parse` reads back.
+    /// @return the address in the form that `parse` accepts.
     std::string to_string() const;
 
     auto operator<=>(const socket_address&) const = default;
--- a/src/adapters/settings/value_parser.cpp
+++ b/src/adapters/settings/value_parser.cpp
@@ -9,47 +9,47 @@
 namespace
 {
 
-constexpr std::size_t longest_name = 64;
-constexpr std::size_t longest_path = 4096;
-constexpr std::size_t longest_quote = 80;
+constexpr std::size_t max_name_bytes = 64;
+constexpr std::size_t max_path_bytes = 4096;
+constexpr std::size_t max_quoted_bytes = 80;
 
 std::string quoted(std::string_view text)
 {
-    const bool whole = text.size() <= longest_quote;
+    const bool complete = text.size() <= max_quoted_bytes;
     std::string result = "\"";
-    result += text.substr(0, longest_quote);
-    result += whole ? "\"" : "...\"";
+    result += text.substr(0, max_quoted_bytes);
+    result += complete ? "\"" : "...\"";
     return result;
 }
 
-parsed_value refused(std::string_view reason, std::string_view text)
+parsed_value rejected(std::string_view reason, std::string_view text)
 {
     return {std::nullopt, std::string(reason) + ": " + quoted(text)};
 }
 
-bool is_name_letter(char letter)
+bool is_name_character(char character)
 {
-    return (letter >= 'a' && letter <= 'z') ||
-           (letter >= 'A' && letter <= 'Z') ||
-           (letter >= '0' && letter <= '9') || letter == '.' || letter == '_' ||
-           letter == '-';
+    return (character >= 'a' && character <= 'z') ||
+           (character >= 'A' && character <= 'Z') ||
+           (character >= '0' && character <= '9') || character == '.' ||
+           character == '_' || character == '-';
 }
 
 parsed_value parse_name(const setting_row&, std::string_view text)
 {
-    if (text.size() > longest_name)
-        return refused("too long for a name", text);
-    if (!std::ranges::all_of(text, is_name_letter))
-        return refused("not a name", text);
+    if (text.size() > max_name_bytes)
+        return rejected("too long for a name", text);
+    if (!std::ranges::all_of(text, is_name_character))
+        return rejected("not a name", text);
     return {std::string(text), {}};
 }
 
 parsed_value parse_path(const setting_row&, std::string_view text)
 {
-    if (text.size() > longest_path)
-        return refused("too long for a path", text);
+    if (text.size() > max_path_bytes)
+        return rejected("too long for a path", text);
     if (text.find('\0') != std::string_view::npos)
-        return {std::nullopt, "a path holds no zero byte"};
+        return {std::nullopt, "a path cannot contain a zero byte"};
     return {std::string(text), {}};
 }
 
@@ -58,11 +58,11 @@
     auto address = socket_address::parse(text);
     if (!address)
     {
-        return refused(
-            "not an IP number and port (host names are not resolved)", text);
+        return rejected(
+            "not an IP address and port (host names are not resolved)", text);
     }
     if (address->port < row.min)
-        return refused("port 0 cannot be connected to", text);
+        return rejected("cannot connect to port 0", text);
     return {std::move(*address), {}};
 }
 
@@ -98,11 +98,11 @@
     const char* const end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, number);
     if (error == std::errc::result_out_of_range && stop == end)
-        return refused("out of range", text);
+        return rejected("out of range", text);
     if (error != std::errc() || stop != end)
-        return refused("not a whole number", text);
+        return rejected("not an integer", text);
     if (number < row.min || number > row.max)
-        return refused("out of range", text);
+        return rejected("out of range", text);
     return {number, {}};
 }
 
@@ -110,7 +110,7 @@
 {
     const auto found = std::ranges::find(row.words, text);
     if (found == row.words.end())
-        return refused("not one of the words", text);
+        return rejected("not one of the allowed values", text);
     return {std::int64_t{found - row.words.begin()}, {}};
 }
 
@@ -152,7 +152,7 @@
     case value_kind::word:
         return parse_word(row, text);
     }
-    return {std::nullopt, "the row has no kind"};
+    return {std::nullopt, "the setting has no value type"};
 }
 
 std::string describe_allowed(const setting_row& row)
@@ -164,11 +164,11 @@
     case value_kind::path:
         return "a path of at most 4096 bytes";
     case value_kind::address:
-        return "an IP number and port, as 10.0.0.1:7000 or [fd00::1]:7000, "
-               "port " +
+        return "an IP address and port, such as 10.0.0.1:7000 or "
+               "[fd00::1]:7000, port " +
                describe_ports(row);
     case value_kind::address_list:
-        return "IP numbers and ports separated by commas, port " +
+        return "IP addresses and ports separated by commas, port " +
                describe_ports(row);
     case value_kind::integer:
         return std::to_string(row.min) + " to " + std::to_string(row.max) +
--- a/src/adapters/settings/value_parser.hpp
+++ b/src/adapters/settings/value_parser.hpp
@@ -9,17 +9,17 @@
 namespace roseworks::settings
 {
 
-/// A value, or the reason why there is none.
+/// A parsed value, or the reason why the text was rejected.
 struct parsed_value
 {
     std::optional<setting_value> value;
     std::string reason;
 };
 
-/// Reads a value as its row says and checks its range.
+/// Parses a value as the kind of its row and checks its range.
 parsed_value parse_value(const setting_row& row, std::string_view text);
 
-/// @return what the row allows, in words: `1 to 64 threads`.
+/// @return a description of the allowed values, such as `1 to 64 threads`.
 std::string describe_allowed(const setting_row& row);
 
 } // namespace roseworks::settings
--- a/src/adapters/settings/write_reference.cpp
+++ b/src/adapters/settings/write_reference.cpp
@@ -15,14 +15,14 @@
 
 <!-- Generated: `settings-reference > docs/SETTINGS.md`. -->
 
-`roseworks-router` reads one INI file. A process that finds anything wrong in
-it lists every problem with file, line, section, key and what is allowed, and
-does not start. Unknown and duplicate keys and sections are problems. Addresses
-are IP numbers with a port; host names are not resolved. A comment has a line
-of its own and begins with `;` or `#`. The file is read once, at the start; what
-may change while routers run is in the published records.
+`roseworks-router` reads one INI file. If the file has problems, the process
+lists each one with file, line, section, key and the allowed values, and does
+not start. Unknown and duplicate keys and sections are problems. Addresses are
+IP addresses with a port; host names are not resolved. A comment must be on a
+line of its own and begins with `;` or `#`. The file is read once, at startup;
+configuration that may change while routers run is in the published records.
 
-The smallest file:
+The smallest valid file:
 
 ```ini
 [router]
@@ -60,11 +60,11 @@
 
 std::string describe_default(const setting_row& row)
 {
-    if (!row.fallback)
+    if (!row.default_value)
         return "required";
-    if (row.fallback->empty())
+    if (row.default_value->empty())
         return "unset";
-    return '`' + std::string(*row.fallback) + '`';
+    return '`' + std::string(*row.default_value) + '`';
 }
 
 void write_row(std::ostream& out, const setting_row& row)
--- a/src/adapters/settings/write_reference.hpp
+++ b/src/adapters/settings/write_reference.hpp
@@ -5,7 +5,7 @@
 namespace roseworks::settings
 {
 
-/// Writes docs/SETTINGS.md from the table of settings.
+/// Writes the contents of docs/SETTINGS.md, generated from the settings table.
 void write_reference(std::ostream& out);
 
 } // namespace roseworks::settings
--- a/src/adapters/tls/counted_stream.hpp
+++ b/src/adapters/tls/byte_counting_stream.hpp
@@ -10,37 +10,37 @@
 namespace roseworks::tls
 {
 
-/** A TCP stream that counts the bytes which its socket has taken.
+/** A TCP stream that counts the bytes written to its socket.
 
-    Asio's TLS stream reports nothing written when a write fails, even when
-    records have left by then; this count tells. Bytes are counted when their
-    operation completes.
+    When a write fails, Asio's TLS stream reports that no bytes were written,
+    even if some TLS records were already sent. This count shows whether any
+    were. Bytes are counted when the operation that wrote them completes.
 */
-class counted_stream : public boost::beast::tcp_stream
+class byte_counting_stream : public boost::beast::tcp_stream
 {
 public:
-    using uncounted = boost::beast::tcp_stream;
-    using uncounted::uncounted;
+    using base_stream = boost::beast::tcp_stream;
+    using base_stream::base_stream;
 
     template <class Buffers, class Token>
     auto async_write_some(const Buffers& buffers, Token&& token)
     {
         return boost::asio::
             async_compose<Token, void(boost::system::error_code, std::size_t)>(
-                [this, buffers, begun = false](
+                [this, buffers, started = false](
                     auto& self,
                     boost::system::error_code error = {},
                     std::size_t size = 0) mutable
                 {
-                    if (!begun)
+                    if (!started)
                     {
-                        begun = true;
+                        started = true;
                         const Buffers data = buffers;
-                        this->uncounted::async_write_some(
+                        this->base_stream::async_write_some(
                             data, std::move(self));
                         return;
                     }
-                    this->taken += size;
+                    this->bytes_written += size;
                     self.complete(error, size);
                 },
                 token,
@@ -49,11 +49,11 @@
 
     std::uint64_t written() const
     {
-        return this->taken;
+        return this->bytes_written;
     }
 
 private:
-    std::uint64_t taken = 0;
+    std::uint64_t bytes_written = 0;
 };
 
 } // namespace roseworks::tls
--- a/src/adapters/tls/connector.cpp
+++ b/src/adapters/tls/connector.cpp
@@ -11,10 +11,12 @@
 namespace
 {
 
-/// More addresses than a router meets; the memory of failures stays small.
-constexpr std::size_t max_told = 4096;
+/// Bounds the memory for reported failures. A router connects to fewer
+/// addresses than this.
+constexpr std::size_t max_recorded_addresses = 4096;
 
-std::optional<certificate_error::role> decided_by(const handshake_end& end)
+/// @return The certificate file that made the handshake fail, if one did.
+std::optional<certificate_error::role> failing_file(const handshake_end& end)
 {
     if (end.untrusted)
         return certificate_error::role::trusted;
@@ -25,9 +27,9 @@
 
 } // namespace
 
-connector::connector(const context_source& contexts, report failed)
+connector::connector(const context_source& contexts, failure_handler handler)
     : source(contexts)
-    , tell(std::move(failed))
+    , on_failure(std::move(handler))
 {
 }
 
@@ -41,30 +43,30 @@
     const handshake_end end =
         co_await stream.connect_tls(this->source.current(), server.address());
     if (end.secured)
-        this->succeeded(address);
+        this->record_success(address);
     else
-        this->failed({address, decided_by(end), end.reason});
+        this->record_failure({address, failing_file(end), end.reason});
     co_return end.secured;
 }
 
-void connector::succeeded(const std::string& address) const
+void connector::record_success(const std::string& address) const
 {
     const std::scoped_lock lock(this->mutex);
-    this->told.erase(address);
+    this->last_reasons.erase(address);
 }
 
-void connector::failed(handshake_failure what) const
+void connector::record_failure(handshake_failure failure) const
 {
     {
         const std::scoped_lock lock(this->mutex);
-        if (this->told.size() >= max_told)
-            this->told.clear();
-        std::string& last = this->told[what.address];
-        if (last == what.reason)
+        if (this->last_reasons.size() >= max_recorded_addresses)
+            this->last_reasons.clear();
+        std::string& last = this->last_reasons[failure.address];
+        if (last == failure.reason)
             return;
-        last = what.reason;
+        last = failure.reason;
     }
-    this->tell(what);
+    this->on_failure(failure);
 }
 
 } // namespace roseworks::tls
--- a/src/adapters/tls/connector.hpp
+++ b/src/adapters/tls/connector.hpp
@@ -14,43 +14,46 @@
 namespace roseworks::tls
 {
 
-/// A handshake with a server that failed: nothing was sent to it.
+/// A failed handshake with a server. No application data was sent to it.
 struct handshake_failure
 {
     std::string address; ///< ip:port
-    /// The file that decided; empty: none did.
+    /// The local certificate file involved in the failure; empty if none is.
     std::optional<certificate_error::role> of;
     std::string reason;
 };
 
-/** Secures connections towards one kind of server.
+/** Performs the client's side of TLS handshakes with one kind of server.
 
-    A server is known by its IP number: its certificate has to name it and to be
-    signed by somebody trusted. Thread-safe.
+    A server is identified by its IP address: its certificate must contain the
+    address and must be signed by a trusted certificate. Thread-safe.
 */
 class connector
 {
 public:
-    using report = std::function<void(const handshake_failure&)>;
-
-    /** @param contexts Trusted certificates, and the own where there is one;
-                        has to outlive the connector.
-        @param failed   Told of a failure, on the connection's thread; once for
-                        each address and reason until a handshake succeeds. */
-    connector(const context_source& contexts, report failed);
-
-    /// Does the handshake on a connected stream, within its `expires_after`.
-    /// @return Whether it is secured.
+    using failure_handler = std::function<void(const handshake_failure&)>;
+
+    /** @param contexts The trusted certificates and, if configured, the
+                        client's own. Must outlive the connector.
+        @param handler  Called on the connection's thread when a handshake
+                        fails, unless the previous failure of that address had
+                        the same reason. A successful handshake resets this. */
+    connector(const context_source& contexts, failure_handler handler);
+
+    /// Performs the handshake on a connected stream, within the time limit set
+    /// by its `expires_after`.
+    /// @return Whether the stream is secured.
     boost::asio::awaitable<bool> secure(secure_stream& stream) const;
 
 private:
-    void succeeded(const std::string& address) const;
-    void failed(handshake_failure what) const;
+    void record_success(const std::string& address) const;
+    void record_failure(handshake_failure failure) const;
 
     const context_source& source;
-    report tell;
+    failure_handler on_failure;
     mutable std::mutex mutex;
-    mutable std::map<std::string, std::string> told; ///< reasons by address
+    /// The reason of the last reported failure, by address.
+    mutable std::map<std::string, std::string> last_reasons;
 };
 
 } // namespace roseworks::tls
--- a/src/adapters/tls/context_source.cpp
+++ b/src/adapters/tls/context_source.cpp
@@ -23,16 +23,18 @@
 namespace
 {
 
-/// One protocol of ALPN's list: its length and its name.
+/// An entry of the ALPN protocol list: the length of the name, then the name.
 constexpr std::string_view http_1_1 = "\x08http/1.1";
 
-leaf::error_id refuse(role of, const std::string& file, std::string_view what)
+leaf::error_id
+make_error(role of, const std::string& file, std::string_view what)
 {
     return leaf::new_error(certificate_error{of, file, std::string(what)});
 }
 
-/// Choose `http/1.1`, or end the handshake when the caller can't speak it.
-int choose_protocol(
+/// ALPN callback: selects `http/1.1`, or fails the handshake if the client does
+/// not offer it.
+int select_alpn_protocol(
     SSL*,
     const unsigned char** chosen,
     unsigned char* length,
@@ -57,36 +59,38 @@
 {
     std::ifstream in(name, std::ios::binary);
     if (!in)
-        return refuse(of, name, "cannot be opened");
+        return make_error(of, name, "cannot be opened");
     std::string text(std::istreambuf_iterator<char>(in), {});
     if (text.empty())
-        return refuse(of, name, "is empty");
+        return make_error(of, name, "is empty");
     return text;
 }
 
-/// The text of the files; empty where none is named.
-struct file_texts
+/// The contents of the files; empty where no file is named.
+struct file_contents
 {
     std::string certificate;
     std::string key;
     std::string trusted;
 };
 
-leaf::result<std::string> read_named(role of, const std::string& name)
+leaf::result<std::string> read_optional_file(role of, const std::string& name)
 {
     if (name.empty())
         return std::string();
     return read_file(of, name);
 }
 
-leaf::result<file_texts> read_files(const certificate_files& files)
+leaf::result<file_contents> read_files(const certificate_files& files)
 {
-    file_texts texts;
+    file_contents contents;
     BOOST_LEAF_ASSIGN(
-        texts.certificate, read_named(role::certificate, files.certificate));
-    BOOST_LEAF_ASSIGN(texts.key, read_named(role::key, files.key));
-    BOOST_LEAF_ASSIGN(texts.trusted, read_named(role::trusted, files.trusted));
-    return texts;
+        contents.certificate,
+        read_optional_file(role::certificate, files.certificate));
+    BOOST_LEAF_ASSIGN(contents.key, read_optional_file(role::key, files.key));
+    BOOST_LEAF_ASSIGN(
+        contents.trusted, read_optional_file(role::trusted, files.trusted));
+    return contents;
 }
 
 bool has_expired(const X509* certificate)
@@ -94,66 +98,68 @@
     return X509_cmp_current_time(X509_get0_notAfter(certificate)) < 0;
 }
 
-/// @return Whether some trusted certificate is still valid.
+/// @return Whether at least one trusted certificate has not expired.
 bool any_is_valid(SSL_CTX* context)
 {
-    const STACK_OF(X509_OBJECT)* const all =
+    const STACK_OF(X509_OBJECT)* const objects =
         X509_STORE_get0_objects(SSL_CTX_get_cert_store(context));
-    for (int i = 0; i < sk_X509_OBJECT_num(all); ++i)
+    for (int i = 0; i < sk_X509_OBJECT_num(objects); ++i)
     {
-        const X509* const one =
-            X509_OBJECT_get0_X509(sk_X509_OBJECT_value(all, i));
-        if (one != nullptr && !has_expired(one))
+        const X509* const certificate =
+            X509_OBJECT_get0_X509(sk_X509_OBJECT_value(objects, i));
+        if (certificate != nullptr && !has_expired(certificate))
             return true;
     }
     return false;
 }
 
-leaf::result<void> use_identity(
+leaf::result<void> load_identity(
     asio::ssl::context& into,
     const certificate_files& files,
-    const file_texts& texts)
+    const file_contents& contents)
 {
     boost::system::error_code error;
-    into.use_certificate_chain(asio::buffer(texts.certificate), error);
+    into.use_certificate_chain(asio::buffer(contents.certificate), error);
     if (error)
-        return refuse(role::certificate, files.certificate, error.message());
+        return make_error(
+            role::certificate, files.certificate, error.message());
     into.use_private_key(
-        asio::buffer(texts.key), asio::ssl::context::pem, error);
+        asio::buffer(contents.key), asio::ssl::context::pem, error);
     if (error && ERR_GET_REASON(static_cast<unsigned long>(error.value())) !=
                      X509_R_KEY_VALUES_MISMATCH)
-        return refuse(role::key, files.key, error.message());
+        return make_error(role::key, files.key, error.message());
     if (SSL_CTX_check_private_key(into.native_handle()) == 1)
         return {};
     ERR_clear_error();
-    return refuse(role::key, files.key, "is the key of another certificate");
+    return make_error(
+        role::key, files.key, "is the key of another certificate");
 }
 
-leaf::result<void> use_trusted(
+leaf::result<void> load_trusted(
     asio::ssl::context& into,
     const certificate_files& files,
-    const file_texts& texts)
+    const file_contents& contents)
 {
     boost::system::error_code error;
-    into.add_certificate_authority(asio::buffer(texts.trusted), error);
+    into.add_certificate_authority(asio::buffer(contents.trusted), error);
     if (error)
-        return refuse(role::trusted, files.trusted, error.message());
+        return make_error(role::trusted, files.trusted, error.message());
     if (!any_is_valid(into.native_handle()))
-        return refuse(
+        return make_error(
             role::trusted, files.trusted, "holds expired certificates only");
     into.set_verify_mode(
         asio::ssl::verify_peer | asio::ssl::verify_fail_if_no_peer_cert);
     return {};
 }
 
-/// Sets what is particular to one end.
+/// Applies the options that only one side of a connection needs.
 leaf::result<void>
-prepare_end(asio::ssl::context& of, side end, const certificate_files& files)
+configure_side(asio::ssl::context& of, side end, const certificate_files& files)
 {
     SSL_CTX* const native = of.native_handle();
     if (end == side::server)
     {
-        SSL_CTX_set_alpn_select_cb(native, &choose_protocol, nullptr);
+        SSL_CTX_set_alpn_select_cb(native, &select_alpn_protocol, nullptr);
         return {};
     }
     SSL_CTX_set_alpn_protos(
@@ -162,34 +168,34 @@
         static_cast<unsigned int>(http_1_1.size()));
     const X509* const own = SSL_CTX_get0_certificate(native);
     if (own != nullptr && has_expired(own))
-        return refuse(role::certificate, files.certificate, "has expired");
+        return make_error(role::certificate, files.certificate, "has expired");
     return {};
 }
 
-leaf::result<context_ptr>
-make_context(side end, const certificate_files& files, const file_texts& texts)
+leaf::result<context_ptr> make_context(
+    side end, const certificate_files& files, const file_contents& contents)
 {
-    auto made = std::make_shared<asio::ssl::context>(
+    auto result = std::make_shared<asio::ssl::context>(
         end == side::server ? asio::ssl::context::tls_server
                             : asio::ssl::context::tls_client);
-    SSL_CTX* const native = made->native_handle();
+    SSL_CTX* const native = result->native_handle();
     SSL_CTX_set_min_proto_version(native, TLS1_2_VERSION);
     SSL_CTX_set_options(
         native, SSL_OP_NO_COMPRESSION | SSL_OP_NO_RENEGOTIATION);
-    // Connections aren't resumed: each end is verified anew.
+    // Sessions are not resumed, so that every connection verifies its peer.
     SSL_CTX_set_session_cache_mode(native, SSL_SESS_CACHE_OFF);
-    // Never ask the terminal.
-    made->set_password_callback(
+    // OpenSSL would otherwise prompt for a password on the terminal.
+    result->set_password_callback(
         [](std::size_t, asio::ssl::context::password_purpose)
         {
             return std::string();
         });
-    if (!texts.certificate.empty() || end == side::server)
-        BOOST_LEAF_CHECK(use_identity(*made, files, texts));
-    if (!texts.trusted.empty() || end == side::client)
-        BOOST_LEAF_CHECK(use_trusted(*made, files, texts));
-    BOOST_LEAF_CHECK(prepare_end(*made, end, files));
-    return made;
+    if (!contents.certificate.empty() || end == side::server)
+        BOOST_LEAF_CHECK(load_identity(*result, files, contents));
+    if (!contents.trusted.empty() || end == side::client)
+        BOOST_LEAF_CHECK(load_trusted(*result, files, contents));
+    BOOST_LEAF_CHECK(configure_side(*result, end, files));
+    return result;
 }
 
 } // namespace
@@ -203,10 +209,10 @@
 leaf::result<std::unique_ptr<context_source>>
 context_source::load(side end, certificate_files files)
 {
-    std::unique_ptr<context_source> made(
+    std::unique_ptr<context_source> result(
         new context_source(end, std::move(files)));
-    BOOST_LEAF_CHECK(made->reload());
-    return made;
+    BOOST_LEAF_CHECK(result->reload());
+    return result;
 }
 
 context_ptr context_source::current() const
@@ -217,14 +223,14 @@
 
 leaf::result<bool> context_source::reload()
 {
-    BOOST_LEAF_AUTO(texts, read_files(this->files));
-    std::string read = texts.certificate + texts.key + texts.trusted;
-    if (read == this->last_read)
+    BOOST_LEAF_AUTO(contents, read_files(this->files));
+    std::string read = contents.certificate + contents.key + contents.trusted;
+    if (read == this->last_contents)
         return false;
-    this->last_read = std::move(read);
-    BOOST_LEAF_AUTO(made, make_context(this->end, this->files, texts));
+    this->last_contents = std::move(read);
+    BOOST_LEAF_AUTO(result, make_context(this->end, this->files, contents));
     const std::scoped_lock lock(this->mutex);
-    this->context = std::move(made);
+    this->context = std::move(result);
     return true;
 }
 
--- a/src/adapters/tls/context_source.hpp
+++ b/src/adapters/tls/context_source.hpp
@@ -12,7 +12,7 @@
 namespace roseworks::tls
 {
 
-/// LEAF error object: a file that can't be used.
+/// LEAF error object: a certificate or key file that cannot be used.
 struct certificate_error
 {
     enum class role : std::uint8_t
@@ -27,36 +27,38 @@
     std::string what;
 };
 
-/// PEM files of one end of connections.
+/// The PEM files of one side of connections.
 struct certificate_files
 {
-    std::string certificate; ///< the chain, the end's own first
-    std::string key;         ///< not encrypted
-    std::string trusted;     ///< who may have signed the other end's
+    std::string certificate; ///< the certificate chain, leaf first
+    std::string key;         ///< its private key, not encrypted
+    std::string trusted;     ///< authorities trusted to sign the peer's
 };
 
-/// Which end of its connections a context is for.
+/// The side of a connection that a context is for.
 enum class side : std::uint8_t
 {
-    server, ///< needs a certificate; with `trusted` asks for the client's, too
-    client  ///< needs `trusted`; shows a certificate where it has one
+    server, ///< needs a certificate; with `trusted`, requires the client's too
+    client  ///< needs `trusted`; presents a certificate if it has one
 };
 
-/** Makes TLS contexts from files that may be replaced at any time.
+/** Creates TLS contexts from files that may be replaced at any time.
 
-    TLS 1.2 and 1.3, ALPN `http/1.1`. Open connections keep the context which
-    they began with; new ones get the newest that could be read. Thread-safe.
+    Supports TLS 1.2 and 1.3 and ALPN `http/1.1`. An open connection keeps the
+    context with which it began; a new one gets the latest context that could be
+    loaded. Thread-safe, but only one thread may call `reload` at a time.
 */
 class context_source
 {
 public:
-    /** Read the files.
-
-        @param end   The end they are for.
-        @param files Their names; empty: none.
-        @return      The source, or a `certificate_error`: a file can't be read
-                     or isn't PEM, the key is of another certificate, or, at the
-                     client's end, what it would use has expired.
+    /** Loads the files.
+
+        @param end   The side of connections that the files are for.
+        @param files The paths of the files; empty where there is no file.
+        @return      The source, or a `certificate_error` if a file cannot be
+                     read or is not PEM, if the key does not match the
+                     certificate or, on the client's side, if the certificate
+                     or all trusted certificates have expired.
     */
     static boost::leaf::result<std::unique_ptr<context_source>>
     load(side end, certificate_files files);
@@ -64,10 +66,12 @@
     /// @return The context for a new connection, never null.
     context_ptr current() const;
 
-    /** Read the files again. Where they can't be used, the old ones stay.
+    /** Reads the files again and, if their contents changed, replaces the
+        context. If they cannot be used, the previous context stays.
 
-        @return Whether the context was replaced, or a `certificate_error`. The
-                same unusable files are an error once.
+        @return Whether the context was replaced, or a `certificate_error`.
+                Unusable contents are reported once; while they are unchanged,
+                later calls return false.
     */
     boost::leaf::result<bool> reload();
 
@@ -81,7 +85,7 @@
 
     const side end;
     const certificate_files files;
-    std::string last_read; ///< all files' text at the last attempt
+    std::string last_contents; ///< contents of all files at the last attempt
     mutable std::mutex mutex;
     context_ptr context;
 };
--- a/src/adapters/tls/secure_stream.cpp
+++ b/src/adapters/tls/secure_stream.cpp
@@ -20,17 +20,20 @@
 namespace
 {
 
-constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
+constexpr auto as_error_tuple = asio::as_tuple(asio::use_awaitable);
 
-// RFC 8446, section 5: type, version, length.
+// The TLS record layer, RFC 8446, section 5. A record header holds the content
+// type (1 byte), the version (2) and the payload length (2).
 constexpr std::size_t record_header_bytes = 5;
-constexpr unsigned char record_alert = 21;
-constexpr unsigned char record_data = 23;
-/// An alert of TLS 1.3: two bytes, the inner type, and the tag.
-constexpr unsigned sealed_alert_bytes = 2 + 1 + 16;
-
-/// @return Whether the other end's alert is about this end's certificate.
-bool refuses_certificate(const boost::system::error_code& error)
+constexpr unsigned char alert_record = 21;
+constexpr unsigned char data_record = 23;
+/// The payload of an encrypted TLS 1.3 alert: the alert (2 bytes), the inner
+/// content type (1) and the authentication tag (16).
+constexpr unsigned encrypted_alert_bytes = 2 + 1 + 16;
+
+/// @return Whether the error is an alert by which the peer rejects this side's
+///         certificate.
+bool is_certificate_alert(const boost::system::error_code& error)
 {
     if (error.category() != asio::error::get_ssl_category())
         return false;
@@ -50,26 +53,28 @@
     }
 }
 
-/// Names the IP number that the server's certificate has to hold.
-bool expect_server(SSL* handle, const asio::ip::address& server)
+/// Sets the IP address that the server's certificate must contain.
+/// @return Whether OpenSSL accepted the address.
+bool set_expected_address(SSL* handle, const asio::ip::address& server)
 {
-    X509_VERIFY_PARAM* const wanted = SSL_get0_param(handle);
+    X509_VERIFY_PARAM* const parameters = SSL_get0_param(handle);
     if (server.is_v4())
     {
         const auto bytes = server.to_v4().to_bytes();
-        return X509_VERIFY_PARAM_set1_ip(wanted, bytes.data(), bytes.size()) ==
-               1;
+        return X509_VERIFY_PARAM_set1_ip(
+                   parameters, bytes.data(), bytes.size()) == 1;
     }
     const auto bytes = server.to_v6().to_bytes();
-    return X509_VERIFY_PARAM_set1_ip(wanted, bytes.data(), bytes.size()) == 1;
+    return X509_VERIFY_PARAM_set1_ip(parameters, bytes.data(), bytes.size()) ==
+           1;
 }
 
-handshake_end describe(SSL* handle, const boost::system::error_code& error)
+handshake_end make_failure(SSL* handle, const boost::system::error_code& error)
 {
     handshake_end end;
     const long verified = SSL_get_verify_result(handle);
     end.untrusted = verified != X509_V_OK;
-    end.refused = !end.untrusted && refuses_certificate(error);
+    end.refused = !end.untrusted && is_certificate_alert(error);
     end.reason = end.untrusted ? X509_verify_cert_error_string(verified)
                                : error.message();
     return end;
@@ -81,7 +86,7 @@
 {
     this->layer.emplace(this->tcp, *context);
     const auto [error] = co_await this->layer->async_handshake(
-        asio::ssl::stream_base::server, quietly);
+        asio::ssl::stream_base::server, as_error_tuple);
     co_return !error;
 }
 
@@ -90,16 +95,16 @@
 {
     this->layer.emplace(this->tcp, *context);
     SSL* const handle = this->layer->native_handle();
-    if (!expect_server(handle, server))
+    if (!set_expected_address(handle, server))
     {
         handshake_end end;
-        end.reason = "no IP number to verify";
+        end.reason = "cannot set the IP address to verify";
         co_return end;
     }
     const auto [error] = co_await this->layer->async_handshake(
-        asio::ssl::stream_base::client, quietly);
+        asio::ssl::stream_base::client, as_error_tuple);
     if (error)
-        co_return describe(handle, error);
+        co_return make_failure(handle, error);
     handshake_end end;
     end.secured = true;
     co_return end;
@@ -108,7 +113,7 @@
 asio::awaitable<void> secure_stream::finish_tls()
 {
     if (this->layer)
-        co_await this->layer->async_shutdown(quietly);
+        co_await this->layer->async_shutdown(as_error_tuple);
 }
 
 bool secure_stream::peer_closing()
@@ -127,8 +132,8 @@
         return false;
     constexpr unsigned byte_values = 256;
     const unsigned length = header[3] * byte_values + header[4];
-    return header[0] == record_alert ||
-           (header[0] == record_data && length == sealed_alert_bytes);
+    return header[0] == alert_record ||
+           (header[0] == data_record && length == encrypted_alert_bytes);
 }
 
 idle_state secure_stream::look()
--- a/src/adapters/tls/secure_stream.hpp
+++ b/src/adapters/tls/secure_stream.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/tls/counted_stream.hpp"
+#include "adapters/tls/byte_counting_stream.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/as_tuple.hpp>
@@ -25,29 +25,29 @@
 
 using context_ptr = std::shared_ptr<boost::asio::ssl::context>;
 
-/// How a handshake with a server ended.
+/// The result of a handshake with a server.
 struct handshake_end
 {
     bool secured = false;
-    bool untrusted = false; ///< the server's certificate was refused
-    bool refused = false;   ///< the server refused the client's certificate
-    std::string reason;     ///< unless secured
+    bool untrusted = false; ///< the client rejected the server's certificate
+    bool refused = false;   ///< the server rejected the client's certificate
+    std::string reason;     ///< why it failed; empty if secured
 };
 
-/// What a connection that should be idle has received.
+/// The state of a connection on which no data is expected.
 enum class idle_state : std::uint8_t
 {
-    quiet,
-    closed,
-    has_bytes
+    quiet,    ///< open, nothing received
+    closed,   ///< closed by the peer, or failed
+    has_bytes ///< unexpected data was received
 };
 
-/** A TCP stream with time limits that may be secured by TLS.
+/** A TCP stream with time limits that can be secured with TLS.
 
-    Plain until a handshake has succeeded. An `AsyncReadStream` and
-    `AsyncWriteStream` for Asio and Beast, either way. The limits of
-    `expires_after` hold for the socket's operations below TLS, too. Not
-    thread-safe: it belongs to its executor.
+    The stream is plain until a handshake begins. It is an `AsyncReadStream` and
+    an `AsyncWriteStream` for Asio and Beast both plain and secured. The limits
+    of `expires_after` also apply to the socket operations below TLS. Not
+    thread-safe: use it only on its executor.
 */
 class secure_stream
 {
@@ -68,20 +68,23 @@
     secure_stream(const secure_stream&) = delete;
     secure_stream& operator=(const secure_stream&) = delete;
 
-    /// Does the server's side of a handshake, within `expires_after`.
-    /// @param context The certificate; connections keep the one they began
-    ///                with.
-    /// @return        Whether the stream is secured now.
+    /// Performs the server's side of a handshake, within `expires_after`.
+    /// @param context The TLS context with the server's certificate; the stream
+    ///                keeps using it.
+    /// @return        Whether the handshake succeeded.
     boost::asio::awaitable<bool> accept_tls(context_ptr context);
 
-    /// Does the client's side of a handshake, within `expires_after`.
-    /// @param context Trusted certificates, and its own where there is one.
-    /// @param server  The IP number that the server's certificate has to name.
-    /// @return        How it ended; unless secured, the stream is of no use.
+    /// Performs the client's side of a handshake, within `expires_after`.
+    /// @param context The TLS context with the trusted certificates and, if
+    ///                there is one, the client's certificate.
+    /// @param server  The IP address that the server's certificate must
+    ///                contain.
+    /// @return        The result; after a failure the stream must not be used.
     boost::asio::awaitable<handshake_end>
     connect_tls(context_ptr context, boost::asio::ip::address server);
 
-    /// Tells the peer that nothing more is sent, within `expires_after`.
+    /// Shuts TLS down in both directions, within `expires_after`. Does nothing
+    /// on a plain stream.
     boost::asio::awaitable<void> finish_tls();
 
     bool secured() const
@@ -89,23 +92,24 @@
         return this->layer.has_value();
     }
 
-    /** Look whether the peer of a secured stream is closing it.
+    /** Checks whether the peer of a secured stream is closing it.
 
-        Looks at the next record without reading it: an alert, or the end. In
-        TLS 1.3 an alert can't be told from two bytes of data in a record of
-        their own; such data counts as closing.
+        Peeks at the next TLS record: an alert or the end of the stream means
+        that the peer is closing. In TLS 1.3 an encrypted alert cannot be
+        distinguished from a record with two bytes of data; such a record counts
+        as closing.
 
-        @return Whether it is closing. False while other data waits.
+        @return Whether the peer is closing. False while other data is pending.
     */
     bool peer_closing();
 
-    /// Looks at what an idle connection has received, without reading it.
+    /// Checks the state of an idle connection without consuming any data.
     idle_state look();
 
-    /** Count the bytes that a secured stream has handed to its socket.
+    /** Counts the bytes that a secured stream has written to its socket.
 
-        A secured write that fails reports 0 bytes whatever has left: where it
-        matters, compare this before and after.
+        A secured write that fails reports 0 bytes even if some were sent. To
+        find out, compare this count before and after the write.
 
         @return The count; 0 while the stream is plain. */
     std::uint64_t secured_bytes() const
@@ -165,11 +169,12 @@
         if (this->layer)
             return this->layer->async_write_some(
                 buffers, std::forward<Token>(token));
-        return this->tcp.uncounted::async_write_some(
+        return this->tcp.base_stream::async_write_some(
             buffers, std::forward<Token>(token));
     }
 
-    /// Reads below TLS: for what the peer still sends after the end.
+    /// Reads from the socket without decrypting, to drain what the peer still
+    /// sends after the TLS shutdown.
     template <class Buffers, class Token>
     auto async_read_raw(const Buffers& buffers, Token&& token)
     {
@@ -177,8 +182,8 @@
     }
 
 private:
-    counted_stream tcp;
-    std::optional<boost::beast::ssl_stream<counted_stream&>> layer;
+    byte_counting_stream tcp;
+    std::optional<boost::beast::ssl_stream<byte_counting_stream&>> layer;
 };
 
 } // namespace roseworks::tls
--- a/tests/unit/events/emission_test.cpp
+++ b/tests/unit/events/emission_test.cpp
@@ -1,4 +1,4 @@
-// The catalogue against the places in the sources that emit its events.
+// Compares the event catalogue with the calls in the sources that emit events.
 
 #include "adapters/events/event_catalogue.hpp"
 
@@ -20,7 +20,7 @@
 
 namespace fs = std::filesystem;
 
-/// Fields by event, all places that emit it together.
+/// The fields of each event, collected from all calls that emit it.
 using emissions = std::map<std::string, std::set<std::string>, std::less<>>;
 
 std::string text_of(const fs::path& path)
@@ -31,28 +31,29 @@
 
 std::set<std::string> all_matches(const std::string& text, const char* pattern)
 {
-    const std::regex wanted(pattern);
+    const std::regex expression(pattern);
     std::set<std::string> found;
-    for (std::sregex_iterator at(text.begin(), text.end(), wanted), end;
-         at != end;
-         ++at)
-        found.insert((*at)[1]);
+    for (std::sregex_iterator match(text.begin(), text.end(), expression), end;
+         match != end;
+         ++match)
+        found.insert((*match)[1]);
     return found;
 }
 
-/// A call `report(event_id::name, {...});`, or `report(*id, {...});` for any
-/// of the events that a function of the same file returns.
-void read_emissions(const std::string& text, emissions& found)
+/// Collects the calls `report(event_id::name, {...});`. A call
+/// `report(*id, {...});` counts for every event that a function of the same
+/// file returns.
+void collect_emissions(const std::string& text, emissions& found)
 {
     static const std::regex call(
         R"(\breport\(\s*(?:event_id::(\w+)|\*id)([^;]*);)");
-    for (std::sregex_iterator at(text.begin(), text.end(), call), end;
-         at != end;
-         ++at)
+    for (std::sregex_iterator match(text.begin(), text.end(), call), end;
+         match != end;
+         ++match)
     {
-        const auto fields = all_matches((*at)[2], R"re(\{\s*"(\w+)")re");
-        std::set<std::string> names{(*at)[1]};
-        if (!(*at)[1].matched)
+        const auto fields = all_matches((*match)[2], R"re(\{\s*"(\w+)")re");
+        std::set<std::string> names{(*match)[1]};
+        if (!(*match)[1].matched)
             names = all_matches(text, R"(return event_id::(\w+);)");
         for (const std::string& name : names)
             found[name].insert(fields.begin(), fields.end());
@@ -68,7 +69,7 @@
         for (const auto& entry : fs::recursive_directory_iterator(folder))
         {
             if (entry.path().extension() == ".cpp")
-                read_emissions(text_of(entry.path()), found);
+                collect_emissions(text_of(entry.path()), found);
         }
     }
     return found;
@@ -91,16 +92,16 @@
         cr_expect(emitted != found.end(), "%s is never emitted", name.c_str());
         if (emitted == found.end())
             continue;
-        const auto wanted = catalogued_fields(entry);
+        const auto catalogued = catalogued_fields(entry);
         for (const std::string& field : emitted->second)
         {
             cr_expect(
-                wanted.contains(field),
+                catalogued.contains(field),
                 "%s is emitted with %s, which isn't catalogued",
                 name.c_str(),
                 field.c_str());
         }
-        for (const std::string& field : wanted)
+        for (const std::string& field : catalogued)
         {
             cr_expect(
                 emitted->second.contains(field),
--- a/tests/unit/events/test_events.cpp
+++ b/tests/unit/events/test_events.cpp
@@ -24,7 +24,7 @@
 using namespace roseworks;
 using namespace roseworks::events;
 
-/// Keeps the formatted lines in a string of the test's.
+/// Appends the formatted lines to a string.
 class string_appender final : public log4cplus::Appender
 {
 public:
@@ -52,7 +52,7 @@
     std::string& out;
 };
 
-/// A sink and what it wrote.
+/// A sink and the text that it wrote.
 struct fixture
 {
     std::string text;
@@ -65,7 +65,7 @@
     {
     }
 
-    /// The text from the level on.
+    /// @return The text without the time of its first line.
     std::string without_time() const
     {
         const auto space = this->text.find(' ');
@@ -83,22 +83,22 @@
 
 Test(events, writes_text_lines)
 {
-    fixture written(line_format::text);
-    written.sink.report(
+    fixture output(line_format::text);
+    output.sink.report(
         event_id::lease_lapsed, {{"engine", "e1"}, {"age_ms", 30000}});
     cr_expect(
-        written.without_time() ==
+        output.without_time() ==
         "WARN colombo-a-r1 RW1203 lease_lapsed engine=e1 age_ms=30000\n");
     const std::regex utc(R"(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z .*\n)");
-    cr_expect(std::regex_match(written.text, utc), "%s", written.text.c_str());
+    cr_expect(std::regex_match(output.text, utc), "%s", output.text.c_str());
 }
 
 Test(events, writes_json_lines)
 {
-    fixture written(line_format::json);
-    written.sink.report(
+    fixture output(line_format::json);
+    output.sink.report(
         event_id::peer_joined, {{"peer", "r\"2\n"}, {"incarnation", -7}});
-    const auto line = boost::json::parse(written.text).as_object();
+    const auto line = boost::json::parse(output.text).as_object();
     cr_expect(line.at("event") == "RW1401");
     cr_expect(line.at("name") == "peer_joined");
     cr_expect(line.at("level") == "info");
@@ -110,18 +110,18 @@
 
 Test(events, drops_lower_levels)
 {
-    fixture written(line_format::text, event_level::warn);
-    written.sink.report(event_id::router_started);
-    written.sink.report(event_id::caller_left);
-    cr_expect(written.text.empty());
-    written.sink.report(event_id::internal_error);
-    cr_expect(written.without_time().starts_with("ERROR "));
+    fixture output(line_format::text, event_level::warn);
+    output.sink.report(event_id::router_started);
+    output.sink.report(event_id::caller_left);
+    cr_expect(output.text.empty());
+    output.sink.report(event_id::internal_error);
+    cr_expect(output.without_time().starts_with("ERROR "));
 }
 
 Test(events, keeps_hostile_values_on_their_line)
 {
-    fixture written(line_format::text);
-    written.sink.report(
+    fixture output(line_format::text);
+    output.sink.report(
         event_id::peer_joined,
         {{"peer", "x\nRW1005 router_stopped"},
          {"address", "\x1b[2J\x7f a=b"},
@@ -129,21 +129,21 @@
          {"bad", "\xff\xfe%m"},
          {"good", "caf\xc3\xa9"}});
     cr_expect(
-        written.without_time() ==
+        output.without_time() ==
             "INFO colombo-a-r1 RW1401 peer_joined "
             "peer=\"x\\nRW1005 router_stopped\" "
             "address=\"\\u001b[2J? a=b\" reason=\"\" bad=\"??%m\" "
             "good=\"caf\xc3\xa9\"\n",
         "%s",
-        written.text.c_str());
+        output.text.c_str());
 }
 
 Test(events, cuts_long_values_between_characters)
 {
-    fixture written(line_format::json);
+    fixture output(line_format::json);
     const std::string value = std::string(511, 'x') + "\xc3\xa9" + "tail";
-    written.sink.report(event_id::peer_joined, {{"peer", value}});
-    const auto line = boost::json::parse(written.text).as_object();
+    output.sink.report(event_id::peer_joined, {{"peer", value}});
+    const auto line = boost::json::parse(output.text).as_object();
     cr_expect(
         line.at("fields").at("peer").as_string() ==
         std::string(511, 'x') + "...");
@@ -222,14 +222,14 @@
 
 Test(events, committed_catalogue_is_current)
 {
-    std::ostringstream written;
-    write_catalogue(written);
+    std::ostringstream output;
+    write_catalogue(output);
     cr_expect(
-        read_file(ROSEWORKS_SOURCE_DIR "/docs/EVENTS.md") == written.str(),
+        read_file(ROSEWORKS_SOURCE_DIR "/docs/EVENTS.md") == output.str(),
         "run: events-reference > docs/EVENTS.md");
     for (const event_entry& entry : catalogue())
     {
         const std::string cell = "| `" + std::string(entry.name) + "` |";
-        cr_expect(written.str().find(cell) != std::string::npos);
+        cr_expect(output.str().find(cell) != std::string::npos);
     }
 }
--- a/tests/unit/events/test_pipe_event_sink.cpp
+++ b/tests/unit/events/test_pipe_event_sink.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-class set_clock final : public clock_port
+class manual_clock final : public clock_port
 {
 public:
     instant now() const override
@@ -29,15 +29,15 @@
     instant time{100s};
 };
 
-/// A pipe that nobody reads unless asked to.
-struct held_pipe
+/// A pipe that is read only when a test calls `read`.
+struct unread_pipe
 {
-    held_pipe()
+    unread_pipe()
     {
         cr_assert_eq(::pipe(this->ends.data()), 0);
     }
 
-    ~held_pipe()
+    ~unread_pipe()
     {
         ::close(this->ends[0]);
         ::close(this->ends[1]);
@@ -54,20 +54,20 @@
     std::array<int, 2> ends{};
 };
 
-pipe_event_sink::options options_of(const held_pipe& pipe)
+pipe_event_sink::options options_of(const unread_pipe& pipe)
 {
-    pipe_event_sink::options made;
-    made.vm = "vm1";
-    made.descriptor = pipe.ends[1];
-    return made;
+    pipe_event_sink::options result;
+    result.vm = "vm1";
+    result.descriptor = pipe.ends[1];
+    return result;
 }
 
 } // namespace
 
-Test(pipe_event_sink, writes_one_json_line_an_event)
+Test(pipe_event_sink, writes_one_json_line_per_event)
 {
-    held_pipe pipe;
-    set_clock clock;
+    unread_pipe pipe;
+    manual_clock clock;
     pipe_event_sink sink(options_of(pipe), clock);
     sink.report(event_id::store_back, {{"away_ms", 7}});
     const std::string line = pipe.read();
@@ -76,11 +76,12 @@
     cr_assert_neq(line.find("\"away_ms\":7"), std::string::npos);
 }
 
-/// A reader that has stopped must never hold a thread that serves.
-Test(pipe_event_sink, a_reader_that_stopped_costs_lines_and_no_time)
+/// Guards against a stopped reader blocking a thread that serves requests: once
+/// the pipe is full, a blocking write would never return.
+Test(pipe_event_sink, drops_lines_without_blocking_when_the_reader_stops)
 {
-    held_pipe pipe;
-    set_clock clock;
+    unread_pipe pipe;
+    manual_clock clock;
     pipe_event_sink sink(options_of(pipe), clock);
     constexpr int count = 20'000;
     for (int i = 0; i < count; ++i)
@@ -88,18 +89,18 @@
         clock.time += 10ms;
         sink.report(event_id::store_lost);
     }
-    const auto missing = sink.take_left_out();
-    cr_assert_gt(missing.not_taken, 0);
-    cr_assert_eq(missing.over_limit, 0);
+    const auto dropped = sink.take_left_out();
+    cr_assert_gt(dropped.not_taken, 0);
+    cr_assert_eq(dropped.over_limit, 0);
     pipe.read();
     sink.report(event_id::store_lost);
-    cr_assert_eq(sink.take_left_out().not_taken, 0, "it is read again");
+    cr_assert_eq(sink.take_left_out().not_taken, 0, "the reader has resumed");
 }
 
-Test(pipe_event_sink, lines_a_second_are_bounded_and_counted)
+Test(pipe_event_sink, limits_lines_per_second_and_counts_the_rest)
 {
-    held_pipe pipe;
-    set_clock clock;
+    unread_pipe pipe;
+    manual_clock clock;
     pipe_event_sink sink(options_of(pipe), clock);
     for (int i = 0; i < 450; ++i)
         sink.report(event_id::store_lost);
@@ -109,10 +110,10 @@
     cr_assert_eq(sink.take_left_out().over_limit, 0);
 }
 
-Test(pipe_event_sink, what_went_well_is_sampled_so_that_failures_find_room)
+Test(pipe_event_sink, limits_served_requests_to_leave_room_for_failures)
 {
-    held_pipe pipe;
-    set_clock clock;
+    unread_pipe pipe;
+    manual_clock clock;
     pipe_event_sink sink(options_of(pipe), clock);
     for (int i = 0; i < 500; ++i)
         sink.report(event_id::request_served);
--- a/tests/unit/metrics/test_metrics.cpp
+++ b/tests/unit/metrics/test_metrics.cpp
@@ -59,8 +59,9 @@
     return out.str();
 }
 
-/// The line that starts with that text.
-std::string line_of(const std::string& text, const std::string& start)
+/// @return The first line after the first that begins with `start`; empty if
+///         there is none.
+std::string find_line(const std::string& text, const std::string& start)
 {
     const auto first = text.find('\n' + start);
     if (first == std::string::npos)
@@ -104,18 +105,19 @@
     wait.record(250ms, colour::red);
     wait.record(1h, colour::red);
     const std::string text = written(registry);
-    cr_expect(line_of(text, "wait_seconds_bucket{colour=\"red\",le=\"1e-05\"}")
-                  .ends_with(" 1"));
-    cr_expect(line_of(text, "wait_seconds_bucket{colour=\"red\",le=\"600\"}")
+    cr_expect(
+        find_line(text, "wait_seconds_bucket{colour=\"red\",le=\"1e-05\"}")
+            .ends_with(" 1"));
+    cr_expect(find_line(text, "wait_seconds_bucket{colour=\"red\",le=\"600\"}")
                   .ends_with(" 2"));
-    cr_expect(line_of(text, "wait_seconds_bucket{colour=\"red\",le=\"+Inf\"}")
+    cr_expect(find_line(text, "wait_seconds_bucket{colour=\"red\",le=\"+Inf\"}")
                   .ends_with(" 3"));
-    cr_expect(line_of(text, "wait_seconds_sum{colour=\"red\"}")
+    cr_expect(find_line(text, "wait_seconds_sum{colour=\"red\"}")
                   .ends_with(" 3600.250001"));
     cr_expect(
-        line_of(text, "wait_seconds_count{colour=\"red\"}").ends_with(" 3"));
+        find_line(text, "wait_seconds_count{colour=\"red\"}").ends_with(" 3"));
     cr_expect(
-        line_of(text, "wait_seconds_count{colour=\"blue\"}").ends_with(" 0"));
+        find_line(text, "wait_seconds_count{colour=\"blue\"}").ends_with(" 0"));
 }
 
 Test(metrics, estimates_percentiles_within_a_bin)
@@ -144,7 +146,7 @@
     }
 }
 
-Test(metrics, percentiles_keep_to_the_axis)
+Test(metrics, percentiles_are_clamped_to_the_axis)
 {
     latency_histogram histogram;
     cr_expect(!histogram.percentile(50).has_value());
@@ -159,7 +161,7 @@
     cr_expect(histogram.count() == 10);
 }
 
-Test(metrics, percentile_helper_takes_any_histogram)
+Test(metrics, percentile_helper_accepts_any_histogram)
 {
     auto histogram = boost::histogram::make_histogram(
         boost::histogram::axis::regular<>(10, 0, 100));
@@ -189,7 +191,7 @@
                 }
             });
     }
-    // Writing beside the fills: each text is whole, its counts only grow.
+    // Metrics can be written while other threads record.
     for (int scrape = 0; scrape < 10; ++scrape)
         cr_expect(written(registry).ends_with("\n"));
     for (std::thread& thread : threads)
--- a/tests/unit/settings/test_load_gateway_settings.cpp
+++ b/tests/unit/settings/test_load_gateway_settings.cpp
@@ -47,12 +47,12 @@
 limit_slack = 110000
 )";
 
-std::string with(std::string_view from, std::string_view to)
+std::string replace_in_complete(std::string_view from, std::string_view to)
 {
     std::string text = complete;
-    const auto place = text.find(from);
-    cr_assert_neq(place, std::string::npos);
-    return text.replace(place, from.size(), to);
+    const auto position = text.find(from);
+    cr_assert_neq(position, std::string::npos);
+    return text.replace(position, from.size(), to);
 }
 
 std::string problems_of(const std::string& text)
@@ -66,9 +66,9 @@
         },
         [](const settings_problems& problems)
         {
-            std::ostringstream told;
-            told << problems;
-            return told.str();
+            std::ostringstream out;
+            out << problems;
+            return out.str();
         },
         []
         {
@@ -86,7 +86,7 @@
 
 } // namespace
 
-Test(gateway_settings, reads_what_the_platform_fills_in)
+Test(gateway_settings, reads_the_values_of_the_deployment)
 {
     const gateway_settings read = load(complete);
     cr_assert_eq(read.vm.name, "edge-a-1");
@@ -102,39 +102,52 @@
     cr_assert_eq(read.log.lines_per_second, 400);
 }
 
-/// A deployment may not know a bound: its value is left empty then.
-Test(gateway_settings, an_empty_value_is_the_default)
+/// A deployment that does not define a bound leaves its value empty.
+Test(gateway_settings, empty_value_selects_the_default)
 {
-    const gateway_settings read = load(with("lease_ms = 3000", "lease_ms ="));
+    const gateway_settings read =
+        load(replace_in_complete("lease_ms = 3000", "lease_ms ="));
     cr_assert_eq(read.bounds.lease.count(), 3000);
-    cr_assert_eq(problems_of(with("grace_s = 8", "grace_s = 8.5")), "");
+    cr_assert_eq(
+        problems_of(replace_in_complete("grace_s = 8", "grace_s = 8.5")), "");
     const auto bounds =
-        load(with("limit_slack = 110000", "limit_slack =")).bounds;
+        load(replace_in_complete("limit_slack = 110000", "limit_slack ="))
+            .bounds;
     cr_assert_eq(bounds.limit_slack, 0);
 }
 
-/// An owner that took unchecked numbers for checked ones would order on past
-/// its term, beside its successor.
-Test(gateway_settings, fences_count_as_unchecked_unless_the_platform_says_so)
+/// Engines must not be assumed to check fencing tokens: an owner that relies on
+/// such a check would keep sending orders after its term, concurrently with its
+/// successor.
+Test(gateway_settings, fences_are_unchecked_unless_the_settings_enable_them)
 {
     const std::string line = "fences_checked = true";
-    cr_assert_not(load(with(line, "fences_checked =")).bounds.fences_checked);
-    cr_assert_not(load(with(line + "\n", "")).bounds.fences_checked);
+    cr_assert_not(load(replace_in_complete(line, "fences_checked ="))
+                      .bounds.fences_checked);
+    cr_assert_not(
+        load(replace_in_complete(line + "\n", "")).bounds.fences_checked);
     cr_assert_not(gateway_settings().bounds.fences_checked);
 }
 
-Test(gateway_settings, names_what_is_wrong)
+Test(gateway_settings, reports_problems)
 {
-    cr_assert_neq(problems_of(with("name = edge-a-1", "nome = x")), "");
-    cr_assert_neq(problems_of(with("lease_ms = 3000", "lease_ms = -1")), "");
-    cr_assert_neq(problems_of(with("= 0.2", "= much")), "");
-    cr_assert_neq(problems_of(with("= 0.2", "= -0.2")), "");
-    cr_assert_neq(problems_of(with("10.200.1.7:8142", "store:8142")), "");
-    cr_assert_neq(problems_of(with("= true\nretry", "= maybe\nretry")), "");
+    cr_assert_neq(
+        problems_of(replace_in_complete("name = edge-a-1", "nome = x")), "");
+    cr_assert_neq(
+        problems_of(replace_in_complete("lease_ms = 3000", "lease_ms = -1")),
+        "");
+    cr_assert_neq(problems_of(replace_in_complete("= 0.2", "= much")), "");
+    cr_assert_neq(problems_of(replace_in_complete("= 0.2", "= -0.2")), "");
+    cr_assert_neq(
+        problems_of(replace_in_complete("10.200.1.7:8142", "store:8142")), "");
+    cr_assert_neq(
+        problems_of(replace_in_complete("= true\nretry", "= maybe\nretry")),
+        "");
     cr_assert_neq(problems_of(complete + "lease_ms = 5\n"), "");
-    const std::string told = problems_of(with("data_centre = a\n", ""));
+    const std::string text =
+        problems_of(replace_in_complete("data_centre = a\n", ""));
     cr_assert_neq(
-        told.find("data_centre"), std::string::npos, "%s", told.c_str());
+        text.find("data_centre"), std::string::npos, "%s", text.c_str());
 }
 
 Test(gateway_settings, committed_reference_is_current)
--- a/tests/unit/settings/test_load_router_settings.cpp
+++ b/tests/unit/settings/test_load_router_settings.cpp
@@ -18,12 +18,12 @@
 using namespace roseworks::settings;
 using namespace std::chrono_literals;
 
-const std::string smallest = "[router]\nname = r1\ndata_centre = colombo-a\n"
-                             "listen = 127.0.0.1:0\n"
-                             "[peers]\nlisten = [::1]:0\n"
-                             "[log]\naddress = 127.0.0.1:9000\n";
+const std::string minimal = "[router]\nname = r1\ndata_centre = colombo-a\n"
+                            "listen = 127.0.0.1:0\n"
+                            "[peers]\nlisten = [::1]:0\n"
+                            "[log]\naddress = 127.0.0.1:9000\n";
 
-/// The settings, or the problems as text.
+/// The loaded settings, or the problems as text.
 struct outcome
 {
     router_settings settings;
@@ -58,7 +58,7 @@
 
 void expect_problem(const std::string& added, const std::string& expected)
 {
-    const std::string found = problems_of(smallest + added);
+    const std::string found = problems_of(minimal + added);
     cr_expect(
         found == expected,
         "expected: %sfound: %s",
@@ -78,7 +78,7 @@
 
 Test(settings, takes_defaults)
 {
-    const auto [settings, problems] = load(smallest);
+    const auto [settings, problems] = load(minimal);
     cr_assert(problems.empty(), "%s", problems.c_str());
     cr_expect(settings.router.name == "r1");
     cr_expect((settings.router.listen == socket_address{"127.0.0.1", 0}));
@@ -99,10 +99,10 @@
 Test(settings, takes_given_values)
 {
     const auto [settings, problems] = load(
-        smallest + "# comment\n[vm_list]\r\naddress = 10.0.0.9:81\r\n"
-                   "; comment\n[placement]\nstrategy=gap_cost\n"
-                   "[logging]\nlevel = error\nformat = json\nfile =\n"
-                   "[engines]\ncredentials_file = /run/a key\n");
+        minimal + "# comment\n[vm_list]\r\naddress = 10.0.0.9:81\r\n"
+                  "; comment\n[placement]\nstrategy=gap_cost\n"
+                  "[logging]\nlevel = error\nformat = json\nfile =\n"
+                  "[engines]\ncredentials_file = /run/a key\n");
     cr_assert(problems.empty(), "%s", problems.c_str());
     cr_expect((settings.vm_list.address == socket_address{"10.0.0.9", 81}));
     cr_expect(settings.placement.strategy == placement_kind::gap_cost);
@@ -113,7 +113,7 @@
 
 Test(settings, takes_a_list_of_addresses)
 {
-    std::string text = smallest;
+    std::string text = minimal;
     text.insert(text.find("[log]"), "seeds = 10.0.0.1:7000 ,[fd00::1]:7001\n");
     const auto [settings, problems] = load(text);
     cr_assert(problems.empty(), "%s", problems.c_str());
@@ -139,21 +139,21 @@
                                           "term_ms = 5\n"
                                           "[log]\n");
     const std::string expected =
-        "r.ini:1: stray: key outside of a section\n"
+        "r.ini:1: stray: key outside a section\n"
         "r.ini:3: [router] name: not a name: \"has space\"; allowed: 1 to 64 "
         "letters, digits, '.', '_' and '-'\n"
         "r.ini:4: [router] traffic_threads: out of range: \"65\"; allowed: 1 "
         "to 64 threads\n"
         "r.ini:5: [router]: '=' character not found in line; allowed: "
         "[section], key = value, or a comment after ';' or '#'\n"
-        "r.ini:7: [peers] listen: not an IP number and port (host names are "
-        "not resolved): \"db.local:7000\"; allowed: an IP number and port, as "
-        "10.0.0.1:7000 or [fd00::1]:7000, port 0 to 65535\n"
-        "r.ini:8: [peers] seeds: port 0 cannot be connected to: "
-        "\"10.0.0.1:0\"; allowed: IP numbers and ports separated by commas, "
+        "r.ini:7: [peers] listen: not an IP address and port (host names are "
+        "not resolved): \"db.local:7000\"; allowed: an IP address and port, "
+        "such as 10.0.0.1:7000 or [fd00::1]:7000, port 0 to 65535\n"
+        "r.ini:8: [peers] seeds: cannot connect to port 0: "
+        "\"10.0.0.1:0\"; allowed: IP addresses and ports separated by commas, "
         "port 1 to 65535\n"
         "r.ini:11: [log] address: duplicate, first on line 10\n"
-        "r.ini:12: [log] poll_wait_ms: not a whole number: \"1s\"; allowed: 10 "
+        "r.ini:12: [log] poll_wait_ms: not an integer: \"1s\"; allowed: 10 "
         "to 60000 ms\n"
         "r.ini:13: [lease]: unknown section; allowed: router, peers, log, "
         "vm_list, leases, traffic, engines, placement, grants, tls, "
@@ -162,7 +162,7 @@
         "r.ini: [router] data_centre: required key is missing; allowed: 1 to "
         "64 letters, digits, '.', '_' and '-'\n"
         "r.ini: [router] listen: required key is missing; allowed: an IP "
-        "number and port, as 10.0.0.1:7000 or [fd00::1]:7000, port 0 to "
+        "address and port, such as 10.0.0.1:7000 or [fd00::1]:7000, port 0 to "
         "65535\n";
     cr_expect(found == expected, "found:\n%s", found.c_str());
 }
@@ -175,7 +175,8 @@
         "margin_ms\n");
     expect_problem(
         "[placement]\nstrategy = lru\n",
-        "r.ini:10: [placement] strategy: not one of the words: \"lru\"; "
+        "r.ini:10: [placement] strategy: not one of the allowed values: "
+        "\"lru\"; "
         "allowed: fixed_ttl, break_even, gap_cost, gap_cost_preload\n");
     expect_problem(
         "[placement]\nstrategy =\n",
@@ -183,7 +184,7 @@
         "fixed_ttl, break_even, gap_cost, gap_cost_preload\n");
 }
 
-Test(settings, refuses_broken_sections)
+Test(settings, refuses_malformed_sections)
 {
     const std::string tail = "; allowed: [section], key = value, or a comment "
                              "after ';' or '#'\n";
@@ -191,18 +192,18 @@
         "[leases\nterm_ms = 1\n", "r.ini:9: [log]: unmatched '['" + tail);
     expect_problem(
         "[leases] x\n",
-        "r.ini:9: [leases]: text after the section's ']'" + tail);
+        "r.ini:9: [leases]: unexpected text after the section's ']'" + tail);
 }
 
 Test(settings, checks_keys_against_each_other)
 {
     expect_problem(
         "[leases]\nrenew_ms = 27000\n",
-        "r.ini:10: [leases] renew_ms: does not go with the other keys; "
+        "r.ini:10: [leases] renew_ms: conflicts with the other keys; "
         "allowed: renew_ms + margin_ms is less than term_ms\n");
     expect_problem(
         "[traffic]\nmax_queued = 10\n",
-        "r.ini:10: [traffic] max_queued: does not go with the other keys; "
+        "r.ini:10: [traffic] max_queued: conflicts with the other keys; "
         "allowed: max_queued_per_model is at most max_queued\n");
 }
 
@@ -231,7 +232,7 @@
         "r.ini: larger than 1048576 bytes\n");
 }
 
-Test(settings, reads_addresses_by_number_only)
+Test(settings, reads_ip_addresses_only)
 {
     for (const char* const text :
          {"localhost:1",
@@ -248,9 +249,9 @@
     {
         cr_expect(!socket_address::parse(text), "%s", text);
     }
-    const auto six = socket_address::parse("[0:0::1]:65535");
-    cr_assert(six.has_value());
-    cr_expect(six->to_string() == "[::1]:65535");
+    const auto ipv6 = socket_address::parse("[0:0::1]:65535");
+    cr_assert(ipv6.has_value());
+    cr_expect(ipv6->to_string() == "[::1]:65535");
 }
 
 Test(settings, every_default_is_allowed)
@@ -259,9 +260,9 @@
     {
         cr_expect(is_section(row.section));
         cr_expect(find_row(row.section, row.key) == &row);
-        if (!row.fallback || row.fallback->empty())
+        if (!row.default_value || row.default_value->empty())
             continue;
-        const auto parsed = parse_value(row, *row.fallback);
+        const auto parsed = parse_value(row, *row.default_value);
         cr_expect(parsed.value.has_value(), "%s", row.key.data());
     }
     for (const setting_rule& rule : setting_rules())
@@ -271,28 +272,28 @@
     }
 }
 
-Test(settings, certificate_and_key_are_named_together)
+Test(settings, certificate_and_key_must_be_set_together)
 {
     expect_problem(
         "[tls]\nkey_file = k.pem\n",
-        "r.ini:10: [tls] key_file: does not go with the other keys; allowed: "
-        "certificate_file and key_file are both set, or neither\n");
+        "r.ini:10: [tls] key_file: conflicts with the other keys; allowed: "
+        "certificate_file and key_file are both set or both unset\n");
 }
 
-Test(settings, a_certificate_for_servers_needs_its_key_and_whom_to_trust)
+Test(settings, client_certificate_requires_key_and_ca)
 {
     for (const std::string section : {"backend_tls", "platform_tls"})
     {
         expect_problem(
             "[" + section + "]\nca_file = ca.pem\ncertificate_file = c.pem\n",
             "r.ini:11: [" + section +
-                "] certificate_file: does not go with the other keys; allowed: "
-                "certificate_file and key_file are both set, or neither\n");
+                "] certificate_file: conflicts with the other keys; allowed: "
+                "certificate_file and key_file are both set or both unset\n");
         expect_problem(
             "[" + section + "]\ncertificate_file = c.pem\nkey_file = k.pem\n",
             "r.ini:10: [" + section +
-                "] certificate_file: does not go with the other keys; allowed: "
-                "a certificate_file needs a ca_file\n");
+                "] certificate_file: conflicts with the other keys; allowed: "
+                "certificate_file is set only together with ca_file\n");
     }
 }
 
--- a/tests/unit/tls/test_connector.cpp
+++ b/tests/unit/tls/test_connector.cpp
@@ -36,7 +36,7 @@
 
 const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A source, or the problem's text.
+/// A loaded source, or the text of the problem.
 struct loaded
 {
     loaded(tls::side end, const tls::certificate_files& files)
@@ -74,14 +74,14 @@
     return loaded(tls::side::client, {own.certificate(), own.key(), ca}).source;
 }
 
-/// A server that answers each piece it reads, and a client of it.
+/// A client, and a server that sends a response to each piece of data it reads.
 class exchange_fixture
 {
 public:
     exchange_fixture(const context_source& server, const context_source& client)
         : contexts(server)
         , acceptor(this->context, {asio::ip::address_v4::loopback(), 0})
-        , securing(
+        , tls_connector(
               client,
               [this](const tls::handshake_failure& what)
               {
@@ -90,7 +90,7 @@
         , http(
               this->context.get_executor(),
               this->acceptor.local_endpoint(),
-              options(&this->securing),
+              options(&this->tls_connector),
               this->meter)
     {
         asio::co_spawn(this->context, this->accept(), asio::detached);
@@ -98,16 +98,17 @@
 
     http_answer call()
     {
-        http_answer got;
-        asio::co_spawn(this->context, this->run_call(got), asio::detached);
+        http_answer response;
+        asio::co_spawn(
+            this->context, this->send_request(response), asio::detached);
         this->context.restart();
         this->context.run();
-        return got;
+        return response;
     }
 
     std::vector<tls::handshake_failure> failures;
     int accepted = 0;
-    int pieces = 0; ///< that the server has read
+    int pieces = 0; ///< successful reads of the server
 
 private:
     static http_client::options options(const tls::connector* by)
@@ -117,12 +118,12 @@
         return wanted;
     }
 
-    asio::awaitable<void> run_call(http_answer& got)
+    asio::awaitable<void> send_request(http_answer& response)
     {
         platform::http_call what;
         what.target = "/secret";
         what.timeout = std::chrono::seconds(20);
-        got = co_await this->http.send(std::move(what));
+        response = co_await this->http.send(std::move(what));
         this->context.stop();
     }
 
@@ -161,18 +162,18 @@
     const context_source& contexts;
     asio::io_context context;
     tcp::acceptor acceptor;
-    tls::connector securing;
+    tls::connector tls_connector;
     platform::byte_meter meter;
     http_client http;
 };
 
-/// One write of several records to a server that reads none of them.
+/// One write of several TLS records to a server that reads none of them.
 class stalled_write
 {
 public:
     stalled_write(const context_source& server, const context_source& client)
-        : shown(server)
-        , trusting(client)
+        : server_contexts(server)
+        , client_contexts(client)
         , acceptor(this->context, {asio::ip::address_v4::loopback(), 0})
         , accepted(this->context.get_executor())
         , stream(this->context.get_executor())
@@ -189,8 +190,8 @@
     }
 
     bool failed = false;
-    std::size_t reported = 1; ///< bytes, by the write itself
-    std::uint64_t left = 0;   ///< bytes, by the stream's count
+    std::size_t reported = 1; ///< bytes reported by the write
+    std::uint64_t sent = 0;   ///< bytes sent according to the stream's count
 
 private:
     static constexpr int small_buffer = 4096;
@@ -199,17 +200,17 @@
     {
         this->accepted.socket() =
             co_await this->acceptor.async_accept(asio::use_awaitable);
-        co_await this->accepted.accept_tls(this->shown.current());
+        co_await this->accepted.accept_tls(this->server_contexts.current());
     }
 
     asio::awaitable<void> write()
     {
-        const auto place = this->acceptor.local_endpoint();
-        co_await this->stream.async_connect(place, asio::use_awaitable);
+        const auto endpoint = this->acceptor.local_endpoint();
+        co_await this->stream.async_connect(endpoint, asio::use_awaitable);
         this->stream.socket().set_option(
             asio::socket_base::send_buffer_size(small_buffer));
         co_await this->stream.connect_tls(
-            this->trusting.current(), place.address());
+            this->client_contexts.current(), endpoint.address());
         const std::uint64_t before = this->stream.secured_bytes();
         this->stream.expires_after(std::chrono::milliseconds(300));
         const std::string body(60'000, 'x');
@@ -217,11 +218,11 @@
             asio::buffer(body), asio::as_tuple(asio::use_awaitable));
         this->failed = bool(error);
         this->reported = size;
-        this->left = this->stream.secured_bytes() - before;
+        this->sent = this->stream.secured_bytes() - before;
     }
 
-    const context_source& shown;
-    const context_source& trusting;
+    const context_source& server_contexts;
+    const context_source& client_contexts;
     asio::io_context context;
     tcp::acceptor acceptor;
     tls::secure_stream accepted;
@@ -229,45 +230,50 @@
 };
 
 void expect_refused(
-    const test_certificate& server, const std::string& ca, std::string_view why)
+    const test_certificate& server,
+    const std::string& ca,
+    std::string_view expected_reason)
 {
-    const auto shown = server_of(server);
-    const auto trusting = client_of(ca);
-    exchange_fixture fixture(*shown, *trusting);
+    const auto server_contexts = server_of(server);
+    const auto client_contexts = client_of(ca);
+    exchange_fixture fixture(*server_contexts, *client_contexts);
     cr_assert_eq(fixture.call().end, exchange_end::not_sent);
     cr_assert_eq(fixture.call().end, exchange_end::not_sent);
     cr_assert_eq(fixture.accepted, 2);
     cr_assert_eq(fixture.pieces, 0);
-    cr_assert_eq(fixture.failures.size(), 1U, "told once");
-    const auto& told = fixture.failures.front();
-    cr_assert(told.of == role::trusted);
-    cr_assert(told.address.starts_with("127.0.0.1:"));
+    cr_assert_eq(fixture.failures.size(), 1U, "reported once");
+    const auto& failure = fixture.failures.front();
+    cr_assert(failure.of == role::trusted);
+    cr_assert(failure.address.starts_with("127.0.0.1:"));
     cr_assert_neq(
-        told.reason.find(why), std::string::npos, "%s", told.reason.c_str());
+        failure.reason.find(expected_reason),
+        std::string::npos,
+        "%s",
+        failure.reason.c_str());
 }
 
 } // namespace
 
-Test(connector, reaches_a_server_by_its_ip_number_and_keeps_the_connection)
+Test(connector, reaches_a_server_by_its_ip_address_and_keeps_the_connection)
 {
     const test_certificate server("connector-server");
-    const auto shown = server_of(server);
-    const auto trusting = client_of(server.certificate());
-    exchange_fixture fixture(*shown, *trusting);
+    const auto server_contexts = server_of(server);
+    const auto client_contexts = client_of(server.certificate());
+    exchange_fixture fixture(*server_contexts, *client_contexts);
     for (int i = 0; i < 3; ++i)
         cr_assert(fixture.call().is(200));
     cr_assert_eq(fixture.accepted, 1);
     cr_assert(fixture.failures.empty());
 }
 
-Test(connector, sends_nothing_to_a_server_that_another_authority_signed)
+Test(connector, sends_nothing_to_a_server_signed_by_another_authority)
 {
     const test_certificate server("connector-theirs");
     const test_certificate other("connector-other");
     expect_refused(server, other.certificate(), "self-signed");
 }
 
-Test(connector, sends_nothing_to_a_server_with_another_ip_number)
+Test(connector, sends_nothing_to_a_server_with_another_ip_address)
 {
     const test_certificate server("connector-ip", {"127.0.0.9", false});
     expect_refused(server, server.certificate(), "IP address mismatch");
@@ -281,43 +287,43 @@
     expect_refused(server, valid.certificate(), "expired");
 }
 
-Test(connector, a_server_that_asks_for_a_certificate_turns_strangers_away)
+Test(connector, server_that_requires_a_certificate_rejects_untrusted_clients)
 {
     const test_certificate server("connector-asks");
     const test_certificate router("connector-router");
-    const test_certificate stranger("connector-stranger");
-    const auto shown = server_of(server, router.certificate());
+    const test_certificate untrusted("connector-stranger");
+    const auto server_contexts = server_of(server, router.certificate());
     const auto without = client_of(server.certificate());
-    const auto wrong = client_of(server.certificate(), stranger);
+    const auto wrong = client_of(server.certificate(), untrusted);
     const auto right = client_of(server.certificate(), router);
     for (const context_source* refused : {without.get(), wrong.get()})
     {
-        exchange_fixture fixture(*shown, *refused);
+        exchange_fixture fixture(*server_contexts, *refused);
         cr_assert_neq(fixture.call().end, exchange_end::answered);
         cr_assert_eq(fixture.pieces, 0);
     }
-    exchange_fixture fixture(*shown, *right);
+    exchange_fixture fixture(*server_contexts, *right);
     cr_assert(fixture.call().is(200));
 }
 
-Test(connector, new_connections_use_the_certificate_that_the_files_hold_now)
+Test(connector, new_connections_use_the_reloaded_certificates)
 {
     const test_certificate server("connector-before");
     const test_certificate next("connector-after");
     const test_certificate trusted("connector-trusted");
     std::ofstream(trusted.certificate()) << server.text();
-    const auto trusting = client_of(trusted.certificate());
-    const auto shown = server_of(server);
-    const auto shown_next = server_of(next);
-    exchange_fixture before(*shown, *trusting);
+    const auto client_contexts = client_of(trusted.certificate());
+    const auto server_contexts = server_of(server);
+    const auto next_server_contexts = server_of(next);
+    exchange_fixture before(*server_contexts, *client_contexts);
     cr_assert(before.call().is(200));
     std::ofstream(trusted.certificate()) << next.text();
-    cr_assert(trusting->reload().value());
-    cr_assert(before.call().is(200), "the open connection stays");
+    cr_assert(client_contexts->reload().value());
+    cr_assert(before.call().is(200), "the open connection is kept");
     cr_assert_eq(before.accepted, 1);
-    exchange_fixture after(*shown_next, *trusting);
+    exchange_fixture after(*next_server_contexts, *client_contexts);
     cr_assert(after.call().is(200));
-    exchange_fixture old(*shown, *trusting);
+    exchange_fixture old(*server_contexts, *client_contexts);
     cr_assert_eq(old.call().end, exchange_end::not_sent);
 }
 
@@ -348,14 +354,17 @@
     cr_assert(problem({"", "", own.key()}).starts_with(own.key() + ": "));
 }
 
-Test(connector, a_failed_write_tells_that_records_have_left)
+/// A secured write that fails reports 0 bytes even after some TLS records were
+/// sent. The stream's own count must show them, because a request whose bytes
+/// may have arrived must not be treated as unsent.
+Test(connector, failed_write_counts_the_bytes_already_sent)
 {
     const test_certificate server("connector-stalls");
-    const auto shown = server_of(server);
-    const auto trusting = client_of(server.certificate());
-    stalled_write write(*shown, *trusting);
+    const auto server_contexts = server_of(server);
+    const auto client_contexts = client_of(server.certificate());
+    stalled_write write(*server_contexts, *client_contexts);
     write.run();
     cr_assert(write.failed);
     cr_assert_eq(write.reported, 0U);
-    cr_assert_gt(write.left, 0U);
+    cr_assert_gt(write.sent, 0U);
 }
