--- a/src/adapters/edge/backend_pool.cpp
+++ b/src/adapters/edge/backend_pool.cpp
@@ -54,14 +54,14 @@
         return false;
     if (connection.serial <= std::max(at.suspect, at.dropped))
         return false;
-    const tls::idle_state state = connection.stream.look();
-    if (state == tls::idle_state::has_bytes)
+    const tls::idle_state state = connection.stream.check_idle();
+    if (state == tls::idle_state::has_data)
     {
         this->context.observer.late_answer_dropped();
         this->context.events.report(
             event_id::late_answer_dropped, {{"engine", connection.address}});
     }
-    return state == tls::idle_state::quiet;
+    return state == tls::idle_state::no_data;
 }
 
 void backend_pool::put(backend_connection_ptr connection)
--- a/src/adapters/edge/caller_connection.cpp
+++ b/src/adapters/edge/caller_connection.cpp
@@ -190,7 +190,7 @@
 asio::awaitable<void> caller_connection::linger_close()
 {
     this->stream.expires_after(linger_time);
-    co_await this->stream.finish_tls();
+    co_await this->stream.shutdown_tls();
     beast::error_code error;
     this->stream.socket().shutdown(tcp::socket::shutdown_send, error);
     if (error)
--- a/src/adapters/events/pipe_event_sink.cpp
+++ b/src/adapters/events/pipe_event_sink.cpp
@@ -57,7 +57,7 @@
     }
 }
 
-pipe_event_sink::left_out pipe_event_sink::take_left_out()
+pipe_event_sink::dropped_lines pipe_event_sink::take_dropped_lines()
 {
     const std::lock_guard lock(this->mutex);
     return std::exchange(this->dropped, {});
--- a/src/adapters/events/pipe_event_sink.hpp
+++ b/src/adapters/events/pipe_event_sink.hpp
@@ -38,14 +38,14 @@
     void emit(const event_record& record) noexcept override;
 
     /// Counts of lines that were not written.
-    struct left_out
+    struct dropped_lines
     {
         std::uint64_t over_limit = 0; ///< exceeded a limit of lines per second
         std::uint64_t not_taken = 0;  ///< the pipe could not accept them
     };
 
     /// @return The counts since the previous call.
-    left_out take_left_out();
+    dropped_lines take_dropped_lines();
 
 private:
     /// @return Whether the limits allow one more line; counts it either way.
@@ -60,7 +60,7 @@
     std::int64_t second = 0;
     std::uint32_t lines = 0;
     std::uint32_t served_lines = 0;
-    left_out dropped;
+    dropped_lines dropped;
 };
 
 } // namespace roseworks::events
--- a/src/adapters/platform/http_client.cpp
+++ b/src/adapters/platform/http_client.cpp
@@ -100,7 +100,7 @@
             connection_ptr last = std::move(this->idle.back());
             this->idle.pop_back();
             if (last->idle_since >= oldest &&
-                last->stream.look() == tls::idle_state::quiet)
+                last->stream.check_idle() == tls::idle_state::no_data)
                 return last;
         }
         return {};
--- a/src/adapters/tls/connector.cpp
+++ b/src/adapters/tls/connector.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t max_recorded_addresses = 4096;
 
 /// @return The certificate file that made the handshake fail, if one did.
-std::optional<certificate_error::role> failing_file(const handshake_end& end)
+std::optional<certificate_error::role> failing_file(const handshake_result& end)
 {
     if (end.untrusted)
         return certificate_error::role::trusted;
@@ -40,7 +40,7 @@
     if (error)
         co_return false;
     const std::string address = (std::ostringstream() << server).str();
-    const handshake_end end =
+    const handshake_result end =
         co_await stream.connect_tls(this->source.current(), server.address());
     if (end.secured)
         this->record_success(address);
--- a/src/adapters/tls/connector.hpp
+++ b/src/adapters/tls/connector.hpp
@@ -19,7 +19,7 @@
 {
     std::string address; ///< ip:port
     /// The local certificate file involved in the failure; empty if none is.
-    std::optional<certificate_error::role> of;
+    std::optional<certificate_error::role> file_role;
     std::string reason;
 };
 
--- a/src/adapters/tls/context_source.hpp
+++ b/src/adapters/tls/context_source.hpp
@@ -22,7 +22,7 @@
         trusted
     };
 
-    role of = role::certificate;
+    role file_role = role::certificate;
     std::string file;
     std::string what;
 };
@@ -75,7 +75,7 @@
     */
     boost::leaf::result<bool> reload();
 
-    const certificate_files& names() const
+    const certificate_files& file_paths() const
     {
         return this->files;
     }
--- a/src/adapters/tls/secure_stream.cpp
+++ b/src/adapters/tls/secure_stream.cpp
@@ -69,9 +69,10 @@
            1;
 }
 
-handshake_end make_failure(SSL* handle, const boost::system::error_code& error)
+handshake_result
+make_failure(SSL* handle, const boost::system::error_code& error)
 {
-    handshake_end end;
+    handshake_result end;
     const long verified = SSL_get_verify_result(handle);
     end.untrusted = verified != X509_V_OK;
     end.refused = !end.untrusted && is_certificate_alert(error);
@@ -90,14 +91,14 @@
     co_return !error;
 }
 
-asio::awaitable<handshake_end>
+asio::awaitable<handshake_result>
 secure_stream::connect_tls(context_ptr context, asio::ip::address server)
 {
     this->layer.emplace(this->tcp, *context);
     SSL* const handle = this->layer->native_handle();
     if (!set_expected_address(handle, server))
     {
-        handshake_end end;
+        handshake_result end;
         end.reason = "cannot set the IP address to verify";
         co_return end;
     }
@@ -105,12 +106,12 @@
         asio::ssl::stream_base::client, as_error_tuple);
     if (error)
         co_return make_failure(handle, error);
-    handshake_end end;
+    handshake_result end;
     end.secured = true;
     co_return end;
 }
 
-asio::awaitable<void> secure_stream::finish_tls()
+asio::awaitable<void> secure_stream::shutdown_tls()
 {
     if (this->layer)
         co_await this->layer->async_shutdown(as_error_tuple);
@@ -136,23 +137,23 @@
            (header[0] == data_record && length == encrypted_alert_bytes);
 }
 
-idle_state secure_stream::look()
+idle_state secure_stream::check_idle()
 {
     if (this->layer)
     {
         SSL* const handle = this->layer->native_handle();
         if (SSL_has_pending(handle) == 1 ||
             BIO_ctrl_pending(SSL_get_rbio(handle)) != 0)
-            return idle_state::has_bytes;
+            return idle_state::has_data;
     }
     char byte = 0;
     const auto count = ::recv(
         this->tcp.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (count > 0)
         return this->secured() && this->peer_closing() ? idle_state::closed
-                                                       : idle_state::has_bytes;
+                                                       : idle_state::has_data;
     const bool nothing = count < 0 && (errno == EAGAIN || errno == EINTR);
-    return nothing ? idle_state::quiet : idle_state::closed;
+    return nothing ? idle_state::no_data : idle_state::closed;
 }
 
 } // namespace roseworks::tls
--- a/src/adapters/tls/secure_stream.hpp
+++ b/src/adapters/tls/secure_stream.hpp
@@ -26,7 +26,7 @@
 using context_ptr = std::shared_ptr<boost::asio::ssl::context>;
 
 /// The result of a handshake with a server.
-struct handshake_end
+struct handshake_result
 {
     bool secured = false;
     bool untrusted = false; ///< the client rejected the server's certificate
@@ -37,9 +37,9 @@
 /// The state of a connection on which no data is expected.
 enum class idle_state : std::uint8_t
 {
-    quiet,    ///< open, nothing received
-    closed,   ///< closed by the peer, or failed
-    has_bytes ///< unexpected data was received
+    no_data, ///< open, nothing received
+    closed,  ///< closed by the peer, or failed
+    has_data ///< unexpected data was received
 };
 
 /** A TCP stream with time limits that can be secured with TLS.
@@ -80,12 +80,12 @@
     /// @param server  The IP address that the server's certificate must
     ///                contain.
     /// @return        The result; after a failure the stream must not be used.
-    boost::asio::awaitable<handshake_end>
+    boost::asio::awaitable<handshake_result>
     connect_tls(context_ptr context, boost::asio::ip::address server);
 
     /// Shuts TLS down in both directions, within `expires_after`. Does nothing
     /// on a plain stream.
-    boost::asio::awaitable<void> finish_tls();
+    boost::asio::awaitable<void> shutdown_tls();
 
     bool secured() const
     {
@@ -104,7 +104,7 @@
     bool peer_closing();
 
     /// Checks the state of an idle connection without consuming any data.
-    idle_state look();
+    idle_state check_idle();
 
     /** Counts the bytes that a secured stream has written to its socket.
 
--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -303,7 +303,7 @@
 void gateway_app::count_lines()
 {
     constexpr std::chrono::seconds interval{1};
-    const auto missing = this->events.take_left_out();
+    const auto missing = this->events.take_dropped_lines();
     if (missing.over_limit + missing.not_taken != 0)
         this->events.report(
             event_id::lines_left_out,
--- a/src/app/graph_options.cpp
+++ b/src/app/graph_options.cpp
@@ -101,7 +101,7 @@
             settings::settings_problem problem;
             problem.file = error.file;
             problem.section = section;
-            problem.key = setting_of(error.of);
+            problem.key = setting_of(error.file_role);
             problem.reason = error.what;
             return leaf::new_error(settings::settings_problems{{problem}});
         });
--- a/src/app/tls_endpoint.cpp
+++ b/src/app/tls_endpoint.cpp
@@ -114,7 +114,7 @@
         [&](const tls::certificate_error& error) -> leaf::result<bool>
         {
             return leaf::new_error(file_problem{
-                this->section + "." + std::string(setting_of(error.of)),
+                this->section + "." + std::string(setting_of(error.file_role)),
                 error.file,
                 error.what});
         });
@@ -123,10 +123,12 @@
 void tls_endpoint::handshake_failed(const tls::handshake_failure& what) const
 {
     const std::string setting =
-        what.of ? this->section + "." + std::string(setting_of(*what.of))
-                : this->section;
+        what.file_role
+            ? this->section + "." + std::string(setting_of(*what.file_role))
+            : this->section;
     const std::string file =
-        what.of ? file_of(this->source->names(), *what.of) : std::string();
+        what.file_role ? file_of(this->source->file_paths(), *what.file_role)
+                       : std::string();
     this->events.report(
         event_id::handshake_failed,
         {{"address", what.address},
--- a/standins/common/exchange.cpp
+++ b/standins/common/exchange.cpp
@@ -205,7 +205,7 @@
     {
         return true;
     }
-    return this->stream.look() == tls::idle_state::closed;
+    return this->stream.check_idle() == tls::idle_state::closed;
 }
 
 bool exchange::answered() const
--- a/tests/support/http_call.cpp
+++ b/tests/support/http_call.cpp
@@ -79,7 +79,7 @@
             this->context,
             this->stream.connect_tls(
                 this->trusted->current(), asio::ip::make_address(this->host)),
-            [this](std::exception_ptr, const tls::handshake_end& end)
+            [this](std::exception_ptr, const tls::handshake_result& end)
             {
                 if (end.secured)
                     this->write();
--- a/tests/unit/edge/test_tls.cpp
+++ b/tests/unit/edge/test_tls.cpp
@@ -40,7 +40,8 @@
         },
         [](const tls::certificate_error& error)
         {
-            const bool key = error.of == tls::certificate_error::role::key;
+            const bool key =
+                error.file_role == tls::certificate_error::role::key;
             return (key ? "key " : "certificate ") + error.file + ": " +
                    error.what;
         },
--- a/tests/unit/events/test_pipe_event_sink.cpp
+++ b/tests/unit/events/test_pipe_event_sink.cpp
@@ -89,12 +89,13 @@
         clock.time += 10ms;
         sink.report(event_id::store_lost);
     }
-    const auto dropped = sink.take_left_out();
+    const auto dropped = sink.take_dropped_lines();
     cr_assert_gt(dropped.not_taken, 0);
     cr_assert_eq(dropped.over_limit, 0);
     pipe.read();
     sink.report(event_id::store_lost);
-    cr_assert_eq(sink.take_left_out().not_taken, 0, "the reader has resumed");
+    cr_assert_eq(
+        sink.take_dropped_lines().not_taken, 0, "the reader has resumed");
 }
 
 Test(pipe_event_sink, limits_lines_per_second_and_counts_the_rest)
@@ -104,10 +105,10 @@
     pipe_event_sink sink(options_of(pipe), clock);
     for (int i = 0; i < 450; ++i)
         sink.report(event_id::store_lost);
-    cr_assert_eq(sink.take_left_out().over_limit, 50);
+    cr_assert_eq(sink.take_dropped_lines().over_limit, 50);
     clock.time += 1s;
     sink.report(event_id::store_lost);
-    cr_assert_eq(sink.take_left_out().over_limit, 0);
+    cr_assert_eq(sink.take_dropped_lines().over_limit, 0);
 }
 
 Test(pipe_event_sink, limits_served_requests_to_leave_room_for_failures)
@@ -119,5 +120,5 @@
         sink.report(event_id::request_served);
     for (int i = 0; i < 300; ++i)
         sink.report(event_id::request_ended);
-    cr_assert_eq(sink.take_left_out().over_limit, 460);
+    cr_assert_eq(sink.take_dropped_lines().over_limit, 460);
 }
--- a/tests/unit/tls/test_connector.cpp
+++ b/tests/unit/tls/test_connector.cpp
@@ -243,7 +243,7 @@
     cr_assert_eq(fixture.pieces, 0);
     cr_assert_eq(fixture.failures.size(), 1U, "reported once");
     const auto& failure = fixture.failures.front();
-    cr_assert(failure.of == role::trusted);
+    cr_assert(failure.file_role == role::trusted);
     cr_assert(failure.address.starts_with("127.0.0.1:"));
     cr_assert_neq(
         failure.reason.find(expected_reason),
--- a/tools/common/http_call.cpp
+++ b/tools/common/http_call.cpp
@@ -58,11 +58,11 @@
     /// @return Why it isn't secured; empty when it is.
     std::string secure(const tls::context_source& by)
     {
-        tls::handshake_end end;
+        tls::handshake_result end;
         asio::co_spawn(
             this->context,
             this->stream.connect_tls(by.current(), this->server.address()),
-            [&end](std::exception_ptr, tls::handshake_end came)
+            [&end](std::exception_ptr, tls::handshake_result came)
             {
                 end = std::move(came);
             });
--- a/tools/common/tls_options.cpp
+++ b/tools/common/tls_options.cpp
@@ -84,8 +84,8 @@
             -> leaf::result<tls_contexts_ptr>
         {
             return leaf::new_error(input_error{
-                "--" + option_of(error.of, server) + ": " + error.file + ": " +
-                error.what});
+                "--" + option_of(error.file_role, server) + ": " + error.file +
+                ": " + error.what});
         });
 }
 
