--- a/src/adapters/tls/connector.cpp
+++ b/src/adapters/tls/connector.cpp
@@ -16,11 +16,12 @@
 constexpr std::size_t max_recorded_addresses = 4096;
 
 /// @return The certificate file that made the handshake fail, if one did.
-std::optional<certificate_error::role> failing_file(const handshake_result& end)
+std::optional<certificate_error::role>
+failing_file(const handshake_result& result)
 {
-    if (end.untrusted)
+    if (result.server_untrusted)
         return certificate_error::role::trusted;
-    if (end.refused)
+    if (result.client_refused)
         return certificate_error::role::certificate;
     return std::nullopt;
 }
@@ -40,13 +41,13 @@
     if (error)
         co_return false;
     const std::string address = (std::ostringstream() << server).str();
-    const handshake_result end =
+    const handshake_result result =
         co_await stream.connect_tls(this->source.current(), server.address());
-    if (end.secured)
+    if (result.secured)
         this->record_success(address);
     else
-        this->record_failure({address, failing_file(end), end.reason});
-    co_return end.secured;
+        this->record_failure({address, failing_file(result), result.reason});
+    co_return result.secured;
 }
 
 void connector::record_success(const std::string& address) const
--- a/src/adapters/tls/context_source.cpp
+++ b/src/adapters/tls/context_source.cpp
@@ -27,9 +27,10 @@
 constexpr std::string_view http_1_1 = "\x08http/1.1";
 
 leaf::error_id
-make_error(role of, const std::string& file, std::string_view what)
+make_error(role file_role, const std::string& file, std::string_view what)
 {
-    return leaf::new_error(certificate_error{of, file, std::string(what)});
+    return leaf::new_error(
+        certificate_error{file_role, file, std::string(what)});
 }
 
 /// ALPN callback: selects `http/1.1`, or fails the handshake if the client does
@@ -55,14 +56,14 @@
                                             : SSL_TLSEXT_ERR_ALERT_FATAL;
 }
 
-leaf::result<std::string> read_file(role of, const std::string& name)
+leaf::result<std::string> read_file(role file_role, const std::string& name)
 {
     std::ifstream in(name, std::ios::binary);
     if (!in)
-        return make_error(of, name, "cannot be opened");
+        return make_error(file_role, name, "cannot be opened");
     std::string text(std::istreambuf_iterator<char>(in), {});
     if (text.empty())
-        return make_error(of, name, "is empty");
+        return make_error(file_role, name, "is empty");
     return text;
 }
 
@@ -74,11 +75,12 @@
     std::string trusted;
 };
 
-leaf::result<std::string> read_optional_file(role of, const std::string& name)
+leaf::result<std::string>
+read_optional_file(role file_role, const std::string& name)
 {
     if (name.empty())
         return std::string();
-    return read_file(of, name);
+    return read_file(file_role, name);
 }
 
 leaf::result<file_contents> read_files(const certificate_files& files)
@@ -114,21 +116,22 @@
 }
 
 leaf::result<void> load_identity(
-    asio::ssl::context& into,
+    asio::ssl::context& tls_context,
     const certificate_files& files,
     const file_contents& contents)
 {
     boost::system::error_code error;
-    into.use_certificate_chain(asio::buffer(contents.certificate), error);
+    tls_context.use_certificate_chain(
+        asio::buffer(contents.certificate), error);
     if (error)
         return make_error(
             role::certificate, files.certificate, error.message());
-    into.use_private_key(
+    tls_context.use_private_key(
         asio::buffer(contents.key), asio::ssl::context::pem, error);
     if (error && ERR_GET_REASON(static_cast<unsigned long>(error.value())) !=
                      X509_R_KEY_VALUES_MISMATCH)
         return make_error(role::key, files.key, error.message());
-    if (SSL_CTX_check_private_key(into.native_handle()) == 1)
+    if (SSL_CTX_check_private_key(tls_context.native_handle()) == 1)
         return {};
     ERR_clear_error();
     return make_error(
@@ -136,28 +139,31 @@
 }
 
 leaf::result<void> load_trusted(
-    asio::ssl::context& into,
+    asio::ssl::context& tls_context,
     const certificate_files& files,
     const file_contents& contents)
 {
     boost::system::error_code error;
-    into.add_certificate_authority(asio::buffer(contents.trusted), error);
+    tls_context.add_certificate_authority(
+        asio::buffer(contents.trusted), error);
     if (error)
         return make_error(role::trusted, files.trusted, error.message());
-    if (!any_is_valid(into.native_handle()))
+    if (!any_is_valid(tls_context.native_handle()))
         return make_error(
             role::trusted, files.trusted, "holds expired certificates only");
-    into.set_verify_mode(
+    tls_context.set_verify_mode(
         asio::ssl::verify_peer | asio::ssl::verify_fail_if_no_peer_cert);
     return {};
 }
 
 /// Applies the options that only one side of a connection needs.
-leaf::result<void>
-configure_side(asio::ssl::context& of, side end, const certificate_files& files)
+leaf::result<void> configure_side(
+    asio::ssl::context& tls_context,
+    side local_side,
+    const certificate_files& files)
 {
-    SSL_CTX* const native = of.native_handle();
-    if (end == side::server)
+    SSL_CTX* const native = tls_context.native_handle();
+    if (local_side == side::server)
     {
         SSL_CTX_set_alpn_select_cb(native, &select_alpn_protocol, nullptr);
         return {};
@@ -173,11 +179,13 @@
 }
 
 leaf::result<context_ptr> make_context(
-    side end, const certificate_files& files, const file_contents& contents)
+    side local_side,
+    const certificate_files& files,
+    const file_contents& contents)
 {
     auto result = std::make_shared<asio::ssl::context>(
-        end == side::server ? asio::ssl::context::tls_server
-                            : asio::ssl::context::tls_client);
+        local_side == side::server ? asio::ssl::context::tls_server
+                                   : asio::ssl::context::tls_client);
     SSL_CTX* const native = result->native_handle();
     SSL_CTX_set_min_proto_version(native, TLS1_2_VERSION);
     SSL_CTX_set_options(
@@ -190,27 +198,27 @@
         {
             return std::string();
         });
-    if (!contents.certificate.empty() || end == side::server)
+    if (!contents.certificate.empty() || local_side == side::server)
         BOOST_LEAF_CHECK(load_identity(*result, files, contents));
-    if (!contents.trusted.empty() || end == side::client)
+    if (!contents.trusted.empty() || local_side == side::client)
         BOOST_LEAF_CHECK(load_trusted(*result, files, contents));
-    BOOST_LEAF_CHECK(configure_side(*result, end, files));
+    BOOST_LEAF_CHECK(configure_side(*result, local_side, files));
     return result;
 }
 
 } // namespace
 
-context_source::context_source(side of, certificate_files names)
-    : end(of)
-    , files(std::move(names))
+context_source::context_source(side local, certificate_files paths)
+    : local_side(local)
+    , files(std::move(paths))
 {
 }
 
 leaf::result<std::unique_ptr<context_source>>
-context_source::load(side end, certificate_files files)
+context_source::load(side local_side, certificate_files files)
 {
     std::unique_ptr<context_source> result(
-        new context_source(end, std::move(files)));
+        new context_source(local_side, std::move(files)));
     BOOST_LEAF_CHECK(result->reload());
     return result;
 }
@@ -228,7 +236,8 @@
     if (read == this->last_contents)
         return false;
     this->last_contents = std::move(read);
-    BOOST_LEAF_AUTO(result, make_context(this->end, this->files, contents));
+    BOOST_LEAF_AUTO(
+        result, make_context(this->local_side, this->files, contents));
     const std::scoped_lock lock(this->mutex);
     this->context = std::move(result);
     return true;
--- a/src/adapters/tls/context_source.hpp
+++ b/src/adapters/tls/context_source.hpp
@@ -53,15 +53,15 @@
 public:
     /** Loads the files.
 
-        @param end   The side of connections that the files are for.
-        @param files The paths of the files; empty where there is no file.
-        @return      The source, or a `certificate_error` if a file cannot be
-                     read or is not PEM, if the key does not match the
-                     certificate or, on the client's side, if the certificate
-                     or all trusted certificates have expired.
+        @param local_side The side of connections that the files are for.
+        @param files      The paths of the files; empty where there is no file.
+        @return           The source, or a `certificate_error` if a file cannot
+                          be read or is not PEM, if the key does not match the
+                          certificate, if all trusted certificates have expired
+                          or if a client's certificate has expired.
     */
     static boost::leaf::result<std::unique_ptr<context_source>>
-    load(side end, certificate_files files);
+    load(side local_side, certificate_files files);
 
     /// @return The context for a new connection, never null.
     context_ptr current() const;
@@ -81,9 +81,9 @@
     }
 
 private:
-    context_source(side end, certificate_files names);
+    context_source(side local_side, certificate_files paths);
 
-    const side end;
+    const side local_side;
     const certificate_files files;
     std::string last_contents; ///< contents of all files at the last attempt
     mutable std::mutex mutex;
--- a/src/adapters/tls/secure_stream.cpp
+++ b/src/adapters/tls/secure_stream.cpp
@@ -72,21 +72,23 @@
 handshake_result
 make_failure(SSL* handle, const boost::system::error_code& error)
 {
-    handshake_result end;
+    handshake_result result;
     const long verified = SSL_get_verify_result(handle);
-    end.untrusted = verified != X509_V_OK;
-    end.refused = !end.untrusted && is_certificate_alert(error);
-    end.reason = end.untrusted ? X509_verify_cert_error_string(verified)
-                               : error.message();
-    return end;
+    result.server_untrusted = verified != X509_V_OK;
+    result.client_refused =
+        !result.server_untrusted && is_certificate_alert(error);
+    result.reason = result.server_untrusted
+                        ? X509_verify_cert_error_string(verified)
+                        : error.message();
+    return result;
 }
 
 } // namespace
 
 asio::awaitable<bool> secure_stream::accept_tls(context_ptr context)
 {
-    this->layer.emplace(this->tcp, *context);
-    const auto [error] = co_await this->layer->async_handshake(
+    this->tls_layer.emplace(this->tcp, *context);
+    const auto [error] = co_await this->tls_layer->async_handshake(
         asio::ssl::stream_base::server, as_error_tuple);
     co_return !error;
 }
@@ -94,27 +96,27 @@
 asio::awaitable<handshake_result>
 secure_stream::connect_tls(context_ptr context, asio::ip::address server)
 {
-    this->layer.emplace(this->tcp, *context);
-    SSL* const handle = this->layer->native_handle();
+    this->tls_layer.emplace(this->tcp, *context);
+    SSL* const handle = this->tls_layer->native_handle();
     if (!set_expected_address(handle, server))
     {
-        handshake_result end;
-        end.reason = "cannot set the IP address to verify";
-        co_return end;
+        handshake_result result;
+        result.reason = "cannot set the IP address to verify";
+        co_return result;
     }
-    const auto [error] = co_await this->layer->async_handshake(
+    const auto [error] = co_await this->tls_layer->async_handshake(
         asio::ssl::stream_base::client, as_error_tuple);
     if (error)
         co_return make_failure(handle, error);
-    handshake_result end;
-    end.secured = true;
-    co_return end;
+    handshake_result result;
+    result.secured = true;
+    co_return result;
 }
 
 asio::awaitable<void> secure_stream::shutdown_tls()
 {
-    if (this->layer)
-        co_await this->layer->async_shutdown(as_error_tuple);
+    if (this->tls_layer)
+        co_await this->tls_layer->async_shutdown(as_error_tuple);
 }
 
 bool secure_stream::peer_closing()
@@ -139,9 +141,9 @@
 
 idle_state secure_stream::check_idle()
 {
-    if (this->layer)
+    if (this->tls_layer)
     {
-        SSL* const handle = this->layer->native_handle();
+        SSL* const handle = this->tls_layer->native_handle();
         if (SSL_has_pending(handle) == 1 ||
             BIO_ctrl_pending(SSL_get_rbio(handle)) != 0)
             return idle_state::has_data;
--- a/src/adapters/tls/secure_stream.hpp
+++ b/src/adapters/tls/secure_stream.hpp
@@ -29,9 +29,11 @@
 struct handshake_result
 {
     bool secured = false;
-    bool untrusted = false; ///< the client rejected the server's certificate
-    bool refused = false;   ///< the server rejected the client's certificate
-    std::string reason;     ///< why it failed; empty if secured
+    /// The client rejected the server's certificate.
+    bool server_untrusted = false;
+    /// The server rejected the client's certificate.
+    bool client_refused = false;
+    std::string reason; ///< why it failed; empty if secured
 };
 
 /// The state of a connection on which no data is expected.
@@ -89,7 +91,7 @@
 
     bool secured() const
     {
-        return this->layer.has_value();
+        return this->tls_layer.has_value();
     }
 
     /** Checks whether the peer of a secured stream is closing it.
@@ -114,7 +116,7 @@
         @return The count; 0 while the stream is plain. */
     std::uint64_t secured_bytes() const
     {
-        return this->layer ? this->tcp.written() : 0;
+        return this->tls_layer ? this->tcp.written() : 0;
     }
 
     executor_type get_executor() noexcept
@@ -157,8 +159,8 @@
     template <class Buffers, class Token>
     auto async_read_some(const Buffers& buffers, Token&& token)
     {
-        if (this->layer)
-            return this->layer->async_read_some(
+        if (this->tls_layer)
+            return this->tls_layer->async_read_some(
                 buffers, std::forward<Token>(token));
         return this->tcp.async_read_some(buffers, std::forward<Token>(token));
     }
@@ -166,8 +168,8 @@
     template <class Buffers, class Token>
     auto async_write_some(const Buffers& buffers, Token&& token)
     {
-        if (this->layer)
-            return this->layer->async_write_some(
+        if (this->tls_layer)
+            return this->tls_layer->async_write_some(
                 buffers, std::forward<Token>(token));
         return this->tcp.base_stream::async_write_some(
             buffers, std::forward<Token>(token));
@@ -183,7 +185,7 @@
 
 private:
     byte_counting_stream tcp;
-    std::optional<boost::beast::ssl_stream<byte_counting_stream&>> layer;
+    std::optional<boost::beast::ssl_stream<byte_counting_stream&>> tls_layer;
 };
 
 } // namespace roseworks::tls
