--- a/src/adapters/edge/backend_pool.cpp
+++ b/src/adapters/edge/backend_pool.cpp
@@ -57,14 +57,14 @@
     if (connection.serial <=
         std::max(peer_state.suspect_up_to, peer_state.dropped_up_to))
         return false;
-    const tls::idle_state state = connection.stream.look();
-    if (state == tls::idle_state::has_bytes)
+    const tls::idle_state state = connection.stream.check_idle();
+    if (state == tls::idle_state::has_data)
     {
         this->context.observer.late_answer_dropped();
         this->context.events.report(
             event_id::late_answer_dropped, {{"engine", connection.address}});
     }
-    return state == tls::idle_state::quiet;
+    return state == tls::idle_state::no_data;
 }
 
 void backend_pool::add_idle(backend_connection_ptr connection)
--- a/src/adapters/platform/http_client.cpp
+++ b/src/adapters/platform/http_client.cpp
@@ -101,7 +101,7 @@
             connection_ptr last = std::move(this->idle_connections.back());
             this->idle_connections.pop_back();
             if (last->idle_since >= min_idle_since &&
-                last->stream.look() == tls::idle_state::quiet)
+                last->stream.check_idle() == tls::idle_state::no_data)
                 return last;
         }
         return {};
--- a/src/app/gateway/gateway_app.cpp
+++ b/src/app/gateway/gateway_app.cpp
@@ -306,7 +306,7 @@
 void gateway_app::report_dropped_lines()
 {
     constexpr std::chrono::seconds interval{1};
-    const auto dropped = this->events.take_left_out();
+    const auto dropped = this->events.take_dropped_lines();
     if (dropped.over_limit + dropped.not_taken != 0)
         this->events.report(
             event_id::lines_left_out,
